--- a/features/steps/applying_steps.py
+++ b/features/steps/applying_steps.py
@@ -7,16 +7,16 @@
 
 from behave import given, then, when
 from domains import LONGEST_S, Domain, Heard
-from followers import open_log
+from followers import open_null_log
 
 from ibisport_bench.memorytransport import Link
 from ibisport_bench.virtualnet import run_on_net
 from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.contact import StoreContact
 from ibisport_fleet.errors import HistoryLost
-from ibisport_fleet.following import PrefixWatch
+from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.store import Item, Listing
-from ibisport_fleet.watchpace import plan_watch
+from ibisport_fleet.store_contact import StoreContact
+from ibisport_fleet.watch_schedule import plan_router_watch
 from ibisport_platform.records import CATALOGUE_KEY, CATALOGUE_PREFIX
 
 BOUND_S = 3.0
@@ -196,9 +196,9 @@
             store,
             CATALOGUE_PREFIX,
             context.heard,
-            open_log(),
+            open_null_log(),
             contact,
-            lambda: plan_watch(1, 1, BOUND_S),
+            lambda: plan_router_watch(1, 1, BOUND_S),
         )
         task = asyncio.create_task(watch.run(int))
         await store.listed.wait()
--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -11,8 +11,8 @@
 from ibisport_bench.budgetworld import BudgetWorld
 from ibisport_bench.experiments.budgetrolls import play_rolls
 from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.budgetkeeper import PAGE_KEY
-from ibisport_fleet.budgetpage import load_page
+from ibisport_fleet.budget_page import decode_page
+from ibisport_fleet.budget_synchronizer import PAGE_KEY
 from ibisport_fleet.lenders import rank_lenders
 
 BUDGET = 1_000_000
@@ -150,7 +150,7 @@
     Loans count as spent at the lender and are delivered at the borrower, so only the
     sum over all hosts says something.
     """
-    page = load_page(world.service.items[PAGE_KEY].content)
+    page = decode_page(world.service.items[PAGE_KEY].content)
     return page.find('acme').closed + world.count_used() - world.delivered
 
 
@@ -212,14 +212,14 @@
 
 @then('what was spent and what is held fits the budget')
 def check_fits(context):
-    page = load_page(context.world.service.items[PAGE_KEY].content)
+    page = decode_page(context.world.service.items[PAGE_KEY].content)
     assert page.find('acme').held <= BUDGET
     assert context.world.delivered <= BUDGET
 
 
 @then('each dead process is accounted for')
 def check_closed(context):
-    page = load_page(context.world.service.items[PAGE_KEY].content)
+    page = decode_page(context.world.service.items[PAGE_KEY].content)
     assert page.find('acme').closed > 0
     assert page.find('acme').held >= context.world.delivered
 
@@ -246,7 +246,7 @@
     lender = rank_lenders(world.names, 'acme')[0]
     world.service.faults.down = True
     await asyncio.sleep(0.2)
-    page = load_page(world.service.items[PAGE_KEY].content)
+    page = decode_page(world.service.items[PAGE_KEY].content)
     context.cap = page.find('acme').shares[lender].cap
     if power:
         world.find_host(lender).boots += 1
@@ -275,7 +275,7 @@
 
 @then('what the lender held counts as spent')
 def check_counted(context):
-    page = load_page(context.world.service.items[PAGE_KEY].content)
+    page = decode_page(context.world.service.items[PAGE_KEY].content)
     assert context.cap > 0
     assert page.find('acme').closed >= context.cap
 
@@ -384,7 +384,7 @@
 
 @then('no less counts as spent than callers got, and the budget holds')
 def check_lost(context):
-    page = load_page(context.world.service.items[PAGE_KEY].content)
+    page = decode_page(context.world.service.items[PAGE_KEY].content)
     assert page.find('acme').held <= BUDGET
     assert _measure_stranded(context.world) >= 0
 
@@ -422,7 +422,7 @@
             world.service.put(PAGE_KEY, world.service.items[PAGE_KEY].content)
             await asyncio.sleep(0.002)
         await asyncio.sleep(2.0)
-        page = load_page(world.service.items[PAGE_KEY].content)
+        page = decode_page(world.service.items[PAGE_KEY].content)
         return page.find('acme').shares[drawer]
 
     context.share = run_virtually(run())
@@ -440,12 +440,12 @@
     async def run():
         world = await context.prepare()
         lender = rank_lenders(world.names, 'acme')[0]
-        before = load_page(world.service.items[PAGE_KEY].content).sessions[lender]
+        before = decode_page(world.service.items[PAGE_KEY].content).sessions[lender]
         world.kill(world.names.index(lender))
         for _ in range(500):
             world.service.put(PAGE_KEY, world.service.items[PAGE_KEY].content)
             await asyncio.sleep(0.008)
-        page = load_page(world.service.items[PAGE_KEY].content)
+        page = decode_page(world.service.items[PAGE_KEY].content)
         return before, page.sessions.get(lender)
 
     context.sessions = run_virtually(run())
@@ -495,7 +495,7 @@
 
 @then('the page tells of no share that holds nothing')
 def check_page(context):
-    page = load_page(context.world.service.items[PAGE_KEY].content)
+    page = decode_page(context.world.service.items[PAGE_KEY].content)
     shares = [
         share for account in page.accounts.values() for share in account.shares.values()
     ]
--- a/features/steps/contentcoding_steps.py
+++ b/features/steps/contentcoding_steps.py
@@ -10,10 +10,10 @@
 from domains import LONGEST_S, PEER_PORT, Domain
 
 from ibisport_bench.virtualnet import run_on_net
-from ibisport_fleet.contentcoding import ACCEPTED, decode_body
+from ibisport_fleet.content_coding import ACCEPTED, decode_body
 from ibisport_fleet.errors import AnswerInvalid
-from ibisport_fleet.exchange import open_exchange
-from ibisport_fleet.messages import Answer, AnswerHead
+from ibisport_fleet.http_connection import open_http_connection
+from ibisport_fleet.http_messages import Answer, AnswerHead
 from ibisport_platform.records import CATALOGUE_KEY, CATALOGUE_PREFIX
 
 MOST_BYTES = 2_000_000
@@ -46,9 +46,9 @@
     async def send(domain):
         address = next(iter(domain.relays.values())), PEER_PORT
         async with asyncio.timeout(LONGEST_S):
-            exchange = await open_exchange(address, domain.now + LONGEST_S)
+            exchange = await open_http_connection(address, domain.now + LONGEST_S)
             headers = ACCEPTED if accepted == 'deflate' else ()
-            return await exchange.ask(STARTS[call], headers, b'')
+            return await exchange.request(STARTS[call], headers, b'')
 
     context.call = call
     context.answer = run_on_net(play)
--- a/features/steps/domains.py
+++ b/features/steps/domains.py
@@ -3,20 +3,20 @@
 import asyncio
 import itertools
 
-from followers import open_log
+from followers import open_null_log
 
 from ibisport_bench.memorytransport import Link
 from ibisport_bench.standins.memorystore import MemoryService, MemoryStore
-from ibisport_fleet.contact import StoreContact
-from ibisport_fleet.following import PrefixWatch
+from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.relay import Relay, RelayAdapters
 from ibisport_fleet.settings import Bounds, HostSettings
-from ibisport_fleet.storepaths import RelayPlace, StorePaths
-from ibisport_fleet.watchpace import plan_watch
+from ibisport_fleet.store_contact import StoreContact
+from ibisport_fleet.store_paths import RelayEndpoint, StorePaths
+from ibisport_fleet.watch_schedule import plan_router_watch
 from ibisport_platform.records import TARGET_PREFIX
 from ibisport_platform.store import PlatformStore
-from ibisport_platform.storeserver import StoreServer
-from ibisport_platform.watchwire import PlatformWatches
+from ibisport_platform.store_server import StoreServer
+from ibisport_platform.watch_codec import PlatformWatchCodec
 
 STORE = ('10.0.0.1', 80)
 PEER_PORT = 7200
@@ -54,12 +54,12 @@
         self.since = {}
         self.revisions = []
 
-    def take_listing(self, listing, doubtful_until):
+    def apply_listing(self, listing, doubtful_until):
         """Take all keys."""
         for item in listing.items:
-            self.take_change(item, doubtful_until)
+            self.apply_change(item, doubtful_until)
 
-    def take_change(self, change, doubtful_until):
+    def apply_change(self, change, doubtful_until):
         """Note when a key was heard of first, and each revision."""
         now = asyncio.get_running_loop().time()
         self.since.setdefault(change.key, now)
@@ -100,7 +100,7 @@
 
     async def open(self):
         """Start all, and wait until each router follows."""
-        server = StoreServer(self.store, open_log())
+        server = StoreServer(self.store, open_null_log())
         await self._listen('store', STORE, server.connections.accept)
         for host, address in self.relays.items():
             relay = self._make_relay(host, address)
@@ -133,7 +133,7 @@
 
     def find_asked(self):
         """Return the relay that the routers ask first."""
-        ways = self._open_paths().list_shared_ways(self.prefix, self.now)
+        ways = self._open_paths().list_shared_paths(self.prefix, self.now)
         return next(
             host for host, address in self.relays.items() if address == ways[0][0]
         )
@@ -159,25 +159,25 @@
         settings = HostSettings(host, DOMAIN, place, place, None, None, STORE, bounds)
         paths = StorePaths(STORE, DOMAIN, tuple)
         adapters = RelayAdapters(
-            lambda log: PlatformStore(paths, log), PlatformWatches()
+            lambda log: PlatformStore(paths, log), PlatformWatchCodec()
         )
-        return Relay(settings, adapters, open_log())
+        return Relay(settings, adapters, open_null_log())
 
     def _open_paths(self):
         return StorePaths(STORE, DOMAIN, self._list_places)
 
     def _list_places(self):
         listed = (*self.relays.values(), *self.vacant)
-        return [RelayPlace((address, PEER_PORT), DOMAIN) for address in listed]
+        return [RelayEndpoint((address, PEER_PORT), DOMAIN) for address in listed]
 
     async def _follow(self, heard):
         contact = StoreContact(self.now)
         watch = PrefixWatch(
-            PlatformStore(self._open_paths(), open_log()),
+            PlatformStore(self._open_paths(), open_null_log()),
             self.prefix,
             heard,
-            open_log(),
+            open_null_log(),
             contact,
-            lambda: plan_watch(len(self.routers), 1, self.bound),
+            lambda: plan_router_watch(len(self.routers), 1, self.bound),
         )
         await watch.run(int)
--- a/features/steps/engines.py
+++ b/features/steps/engines.py
@@ -1,6 +1,6 @@
 """Shared fixture: a model engine that may be chosen."""
 
-from ibisport_fleet.choice import Candidate, TargetHealth
+from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry
 
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -9,27 +9,27 @@
 import msgspec
 from behave import given, then, when
 from engines import build_engine
-from followers import NewestContent, open_log
+from followers import NewestContent, open_null_log
 
 from ibisport_bench.standins.memorystore import ANSWER_SECONDS, MemoryService
 from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.budgetpage import (
-    load_page,
+from ibisport_fleet.budget_page import (
+    decode_page,
 )
 from ibisport_fleet.catalogue import Catalogue
-from ibisport_fleet.contact import StoreContact
-from ibisport_fleet.enginechoice import choose_engine
+from ibisport_fleet.engine_choice import choose_engine
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fleetview import CatalogueView, TargetView
-from ibisport_fleet.following import PrefixWatch
-from ibisport_fleet.retries import RetryBudget
-from ibisport_fleet.store import Item, Listing, WatchTerms
-from ibisport_fleet.storecalls import StoreCaller
-from ibisport_fleet.storepaths import CallKind, RelayPlace, StorePaths
-from ibisport_fleet.storetries import StoreCall
+from ibisport_fleet.fleet_view import CatalogueView, TargetView
+from ibisport_fleet.metadata import PromptPart
+from ibisport_fleet.prefix_watch import PrefixWatch
+from ibisport_fleet.retry_budget import RetryBudget
+from ibisport_fleet.store import Item, Listing, WatchOptions
+from ibisport_fleet.store_call import StoreCall
+from ibisport_fleet.store_contact import StoreContact
+from ibisport_fleet.store_paths import CallKind, RelayEndpoint, StorePaths
+from ibisport_fleet.store_transport import StoreTransport
 from ibisport_fleet.targets import TargetEntry
-from ibisport_fleet.terms import PromptPart
-from ibisport_fleet.watchpace import plan_watch
+from ibisport_fleet.watch_schedule import plan_router_watch
 
 KEY = 'servers/i-0'
 WINDOW = 10.0
@@ -50,7 +50,12 @@
     contact = StoreContact(loop.time())
     store = service.open_store('router')
     watch = PrefixWatch(
-        store, prefix, view, open_log(), contact, lambda: plan_watch(1, 1, 2.0)
+        store,
+        prefix,
+        view,
+        open_null_log(),
+        contact,
+        lambda: plan_router_watch(1, 1, 2.0),
     )
     listed = asyncio.Event()
     task = loop.create_task(watch.run(listed.set))
@@ -64,7 +69,7 @@
         service = MemoryService()
         service.put(KEY, b'ready')
         view = TargetView(
-            _decode_target, lambda key: key.removeprefix('servers/'), open_log()
+            _decode_target, lambda key: key.removeprefix('servers/'), open_null_log()
         )
         task = await _follow(service, view)
         await asyncio.sleep(2.0)
@@ -154,15 +159,15 @@
     def decode(item):
         return Catalogue(int(item.content), item.revision, (), {}, {}, {}, False)
 
-    context.view = CatalogueView('op/config', decode, open_log())
+    context.view = CatalogueView('op/config', decode, open_null_log())
     item = Item('op/config', b'%d' % version, 9)
-    context.view.take_listing(Listing((item,), 9), 0.0)
+    context.view.apply_listing(Listing((item,), 9), 0.0)
 
 
 @when('version {version:d} is read from a stale page')
 def read_stale(context, version):
     item = Item('op/config', b'%d' % version, 4)
-    context.view.take_listing(Listing((item,), 9), 0.0)
+    context.view.apply_listing(Listing((item,), 9), 0.0)
 
 
 @then('the view stays at version {version:d}')
@@ -220,9 +225,9 @@
     for step in range(90):
         now = step * 0.1
         for budget in context.budgets:
-            budget.note_request(now)
+            budget.record_request(now)
             context.requests += 1
-            while budget.take(now, 1):
+            while budget.try_acquire(now, 1):
                 context.taken += 1
 
 
@@ -233,26 +238,26 @@
 
 @then('after a window it may use its slack')
 def check_slack(context):
-    assert context.budgets[0].take(WINDOW + 1, 5)
+    assert context.budgets[0].try_acquire(WINDOW + 1, 5)
 
 
 class _Ways:
     """A caller whose straight way is silent; its relay answers in 10 ms."""
 
     def __init__(self):
-        place = RelayPlace(('10.0.0.2', 7200), 'd')
+        place = RelayEndpoint(('10.0.0.2', 7200), 'd')
         self.paths = StorePaths(('10.0.0.1', 80), 'd', lambda: [place])
-        self.caller = StoreCaller(self.paths, open_log())
-        self.caller.ask_way = self.ask_way
+        self.caller = StoreTransport(self.paths, open_null_log())
+        self.caller.send_on_path = self.send_on_path
         self.asked = []
 
-    async def ask_way(self, attempt, until):
+    async def send_on_path(self, attempt, until):
         address = attempt.address
         self.asked.append(address)
-        if address == self.paths.straight:
+        if address == self.paths.direct:
             await asyncio.sleep(60)
         await asyncio.sleep(0.01)
-        self.paths.note_answer(address)
+        self.paths.record_answer(address)
         return 'answer'
 
 
@@ -270,7 +275,7 @@
         times = []
         for _ in range(2):
             begun = loop.time()
-            assert await context.ways.caller.ask(call) == 'answer'
+            assert await context.ways.caller.send(call) == 'answer'
             times.append(loop.time() - begun)
         return times
 
@@ -308,7 +313,7 @@
 
 @then('the budget holds and most requests are served')
 def check_holds(context):
-    page = load_page(context.world.service.items['ibisport/budgets'].content)
+    page = decode_page(context.world.service.items['ibisport/budgets'].content)
     assert page.find('acme').held <= 1_000_000
     served = context.world.outcomes['served']
     assert served > 0.7 * context.world.outcomes.total(), context.world.outcomes
@@ -325,7 +330,7 @@
     begun = time.process_time()
     for number in range(count):
         context.log.write(Event.request_served, request='x' * 200, number=number)
-        context.log.earn(1.0)
+        context.log.refill(1.0)
     context.spent = time.process_time() - begun
 
 
@@ -352,7 +357,7 @@
     context.engines = [build_engine(number) for number in range(2)]
     context.parts = (PromptPart('shared', 6_000), PromptPart('own', 10))
     home = choose_engine(context.engines, context.parts, 0.0)
-    home.health.begin(0.0)
+    home.health.begin_request(0.0)
     context.home = home
 
 
@@ -380,7 +385,7 @@
         service = context.service
         store = service.open_store('a')
         watching = asyncio.create_task(
-            store.watch('key/', service.revision, WatchTerms(5.0))
+            store.watch('key/', service.revision, WatchOptions(5.0))
         )
         await asyncio.sleep(1.0)
         service.put('key/1', b'')
@@ -388,7 +393,7 @@
         await asyncio.sleep(ANSWER_SECONDS / 4)
         service.put('key/2', b'')
         first = await watching
-        second = await store.watch('key/', first.revision, WatchTerms(5.0))
+        second = await store.watch('key/', first.revision, WatchOptions(5.0))
         context.seen = [[one.key for one in found.changes] for found in (first, second)]
 
     run_virtually(play())
--- a/features/steps/generated_steps.py
+++ b/features/steps/generated_steps.py
@@ -5,16 +5,16 @@
 from hypothesis import given as forall
 
 from ibisport_fleet.allowance import Demand, plan_contact_cap, plan_share
-from ibisport_fleet.budgetpage import (
+from ibisport_fleet.budget_page import (
     Account,
     BudgetPage,
     Session,
     Share,
+    decode_page,
     dump_page,
-    load_page,
 )
 from ibisport_fleet.errors import RequestInvalid
-from ibisport_fleet.messages import AnswerHead, Request
+from ibisport_fleet.http_messages import AnswerHead, Request
 from ibisport_platform.headers import PlatformDialect
 
 QUIET = settings(
@@ -88,10 +88,10 @@
         dialect = PlatformDialect()
         request = Request('POST', b'/a/b?c', head, b'', True, 0.0, 0.0)
         try:
-            dialect.read_call(request)
+            dialect.decode_request(request)
         except RequestInvalid as refused:
             assert refused.status == 400
-        dialect.read_answer(AnswerHead(200, head, True, True))
+        dialect.decode_answer(AnswerHead(200, head, True, True))
         context.read += 1
 
     read()
@@ -122,7 +122,7 @@
     @settings(QUIET, max_examples=count)
     @forall(pages)
     def turn(page):
-        assert load_page(dump_page(page)) == page
+        assert decode_page(dump_page(page)) == page
         context.turned += 1
 
     turn()
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -12,8 +12,8 @@
     choose_mixed,
     play,
 )
-from ibisport_fleet.choice import Candidate, TargetHealth
-from ibisport_fleet.enginechoice import choose_engine, list_readers
+from ibisport_fleet.engine_choice import choose_engine, list_readers
+from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry
 
 SEEDS = (1, 2, 3)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from behave import given, then, when
-from runningfleet import CONTACT_S, FATAL, SLOW, START_S, play_fleet
+from running_fleet import CONVERGENCE_SECONDS, FATAL, SLOW, START_SECONDS, run_fleet
 
 from ibisport_bench.memorytransport import Link
 from ibisport_fleet.quarantine import MOST_ENDS
@@ -37,7 +37,7 @@
             disturb(fleet),
         )
 
-    context.fleet = play_fleet(act, *context.size)
+    context.fleet = run_fleet(act, *context.size)
 
 
 async def _leave_alone(fleet):
@@ -86,7 +86,7 @@
         pressing = fleet.press(2 * FATAL_PAUSE_S, seconds, FATAL, 'once')
         await asyncio.gather(pressing, roll(fleet))
 
-    context.fleet = play_fleet(act, *context.size)
+    context.fleet = run_fleet(act, *context.size)
 
 
 @when('it comes 4 times a second for {seconds:d} seconds while the store is down')
@@ -116,7 +116,7 @@
             fleet.net.links.pop(way)
 
     _play_beside(context, seconds, cut_off)
-    context.healed_at = START_S + CUT_AFTER_S + cut
+    context.healed_at = START_SECONDS + CUT_AFTER_S + cut
 
 
 @when(
@@ -128,7 +128,7 @@
             await asyncio.sleep(CRASH_PAUSE_S)
             fleet.targets[number % len(fleet.targets)].crash()
 
-    context.fleet = play_fleet(
+    context.fleet = run_fleet(
         lambda fleet: _press_harmless(fleet, crash(fleet)), *context.size
     )
 
@@ -141,7 +141,7 @@
             for target in fleet.targets:
                 target.reset()
 
-    context.fleet = play_fleet(
+    context.fleet = run_fleet(
         lambda fleet: _press_harmless(fleet, disturb(fleet), SLOW), *context.size
     )
 
@@ -159,7 +159,7 @@
         assert len(broken) >= MOST_ENDS, broken
         await _ask_each(fleet, 'once', SLOW)
 
-    context.fleet = play_fleet(act, *context.size)
+    context.fleet = run_fleet(act, *context.size)
 
 
 async def _leave_soon(target):
@@ -191,7 +191,7 @@
     fleet = context.fleet
     assert len(fleet.ends) >= 3, fleet.ends
     third = fleet.ends[2][0]
-    late = _list_fatal(fleet, third + CONTACT_S)
+    late = _list_fatal(fleet, third + CONVERGENCE_SECONDS)
     assert len(late) <= most, (fleet.ends, late)
 
 
@@ -208,7 +208,7 @@
 )
 def check_after_cut(context, most):
     fleet = context.fleet
-    since = context.healed_at + CONTACT_S
+    since = context.healed_at + CONVERGENCE_SECONDS
     lost = fleet.routers[0].host
     late = [one for one in _list_fatal(fleet, since) if one.router == lost]
     assert len(late) <= most, (len(late), late[:4])
--- a/features/steps/quarantinepage_steps.py
+++ b/features/steps/quarantinepage_steps.py
@@ -4,13 +4,13 @@
 from types import SimpleNamespace
 
 from behave import given, then, when
-from followers import open_log
+from followers import open_null_log
 
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_bench.virtualtime import run_virtually
 from ibisport_fleet.membership import SHARED_PREFIX
 from ibisport_fleet.quarantine import Quarantine, TargetEnd
-from ibisport_fleet.quarantinepage import PAGE_KEY, QuarantineStore, load_page
+from ibisport_fleet.quarantine_store import PAGE_KEY, QuarantineStore, load_page
 
 LISTING_PAUSE_S = 1.5
 SETTLING_S = 10.0
@@ -70,7 +70,7 @@
     def __init__(self, service, number):
         self.store = service.open_store(f'router-{number}')
         self.quarantine = Quarantine(_stand_still)
-        self.saved = QuarantineStore(self.quarantine, self.store, open_log())
+        self.saved = QuarantineStore(self.quarantine, self.store, open_null_log())
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.saved.run())]
         self.tasks.append(loop.create_task(self._list()))
--- a/features/steps/ratelimit_steps.py
+++ b/features/steps/ratelimit_steps.py
@@ -7,16 +7,21 @@
 import msgspec
 from behave import given, then, when
 from engines import build_engine
-from followers import open_log
+from followers import open_null_log
 from hypothesis import HealthCheck, settings, strategies
 from hypothesis import given as forall
 
 from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.enginechoice import choose_engine
+from ibisport_fleet.engine_choice import choose_engine
 from ibisport_fleet.errors import PeerUnavailable
-from ibisport_fleet.limits import FORGET_SECONDS, LIMITS, LimitNotice, TargetLimits
-from ibisport_fleet.ratelimit import RateLimit, plan_gap
-from ibisport_fleet.terms import PromptPart
+from ibisport_fleet.metadata import PromptPart
+from ibisport_fleet.rate_limit import RateLimit, plan_gap
+from ibisport_fleet.target_limits import (
+    FORGET_SECONDS,
+    LIMITS,
+    LimitNotice,
+    TargetLimits,
+)
 
 QUIET = settings(
     deadline=None,
@@ -85,12 +90,12 @@
         entry = self.candidate.entry
         listed = SimpleNamespace(find={TARGET: entry}.get)
         targets = SimpleNamespace(
-            targets=listed, health=lambda start: self.candidate.health
+            targets=listed, find_health=lambda start: self.candidate.health
         )
         members = SimpleNamespace(own=SimpleNamespace(host='router-0'), hosts=HOSTS)
         self.notices = []
         notifier = SimpleNamespace(notify=lambda *notice: self.notices.append(notice))
-        self.limits = TargetLimits(members, targets, notifier, open_log())
+        self.limits = TargetLimits(members, targets, notifier, open_null_log())
 
     @property
     def rate(self):
@@ -108,7 +113,7 @@
         call = SimpleNamespace(
             target=TARGET, sent_at=sent_at, terms=SimpleNamespace(request_id='r')
         )
-        self.limits.note_answer(call, self.candidate.health, rate)
+        self.limits.apply_answer(call, self.candidate.health, rate)
 
 
 def _load_notice(notice):
--- a/features/steps/records_steps.py
+++ b/features/steps/records_steps.py
@@ -8,21 +8,21 @@
 from hypothesis import HealthCheck, settings, strategies
 from hypothesis import given as forall
 
-from ibisport_fleet.budgetpage import load_page
+from ibisport_fleet.budget_page import decode_page
+from ibisport_fleet.connection_pool import ConnectionPool
 from ibisport_fleet.errors import PeerUnavailable, RecordInvalid
 from ibisport_fleet.eventlog import EventLog
-from ibisport_fleet.fleetview import TargetView
+from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.hostrecord import load_record
 from ibisport_fleet.loans import Loan, LoanClient, LoanRequest, LoanServer
 from ibisport_fleet.membership import load_member
+from ibisport_fleet.metadata import PromptPart
 from ibisport_fleet.peers import PeerClient, PeerServer
-from ibisport_fleet.pool import ConnectionPool
 from ibisport_fleet.store import Item, Listing, Removal
-from ibisport_fleet.terms import PromptPart
 from ibisport_platform.records import (
     decode_catalogue,
     decode_target,
-    name_incarnation,
+    parse_incarnation,
 )
 
 KEY = 'servers/i-0'
@@ -91,14 +91,14 @@
 @given("a router's list of two targets of which one has failed and holds a prompt")
 def make_view(context):
     context.log = _Lines()
-    context.view = TargetView(decode_target, name_incarnation, context.log)
+    context.view = TargetView(decode_target, parse_incarnation, context.log)
 
     def fill(context):
         items = (_write(KEY, 1), _write(OTHER, 2, address='10.0.0.2:8080'))
-        context.view.take_listing(Listing(items, 2), NEVER)
-        health = context.view.health(('i-0', BORN))
-        health.note_failure(1e9)
-        health.note_parts(PARTS, 1e9)
+        context.view.apply_listing(Listing(items, 2), NEVER)
+        health = context.view.find_health(('i-0', BORN))
+        health.record_failure(1e9)
+        health.record_parts(PARTS, 1e9)
         assert _list_serving(context) == {'i-0', 'i-1'}
 
     _run(context, fill)
@@ -107,9 +107,9 @@
 @when('that target is gone and starts again under its id')
 def start_again(context):
     def change(context):
-        context.view.take_change(Removal(KEY, 3), NEVER)
+        context.view.apply_change(Removal(KEY, 3), NEVER)
         assert _list_serving(context) == {'i-1'}
-        context.view.take_change(_write(KEY, 4, born=BORN + 5_000, seq=0), NEVER)
+        context.view.apply_change(_write(KEY, 4, born=BORN + 5_000, seq=0), NEVER)
 
     _run(context, change)
 
@@ -117,8 +117,8 @@
 @when('that target drains and an older word of it is written late')
 def drain(context):
     def change(context):
-        context.view.take_change(_write(KEY, 3, state='draining'), NEVER)
-        context.view.take_change(_write(KEY, 4), NEVER)
+        context.view.apply_change(_write(KEY, 3, state='draining'), NEVER)
+        context.view.apply_change(_write(KEY, 4), NEVER)
 
     _run(context, change)
 
@@ -126,8 +126,8 @@
 @when("that target starts again and the former start's draining is written late")
 def cross(context):
     def change(context):
-        context.view.take_change(_write(KEY, 3, born=BORN + 5_000), NEVER)
-        context.view.take_change(_write(KEY, 4, state='draining'), NEVER)
+        context.view.apply_change(_write(KEY, 3, born=BORN + 5_000), NEVER)
+        context.view.apply_change(_write(KEY, 4, state='draining'), NEVER)
 
     _run(context, change)
 
@@ -137,7 +137,7 @@
     def check(context):
         candidates = context.view.list_candidates('svc')
         found = next(one for one in candidates if one.entry.incarnation == 'i-0')
-        assert found.entry.born == BORN + 5_000
+        assert found.entry.started_at_ms == BORN + 5_000
         assert not found.health.failures
         assert not found.health.has_cached('shared', 1e9)
 
@@ -170,14 +170,14 @@
             before = len(context.log.written)
             for again in range(2):
                 item = Item(KEY, content, 10 + 3 * number + again)
-                context.view.take_change(item, NEVER)
+                context.view.apply_change(item, NEVER)
             refused = [
                 name
                 for name, _ in context.log.written[before:]
                 if name == 'record_refused'
             ]
             context.after.append((content, _list_serving(context), len(refused)))
-            context.view.take_change(_write(KEY, 12 + 3 * number), NEVER)
+            context.view.apply_change(_write(KEY, 12 + 3 * number), NEVER)
             assert _list_serving(context) == {'i-0', 'i-1'}, content
 
     _run(context, change)
@@ -200,7 +200,7 @@
 def list_spoilt(context):
     def change(context):
         items = (Item(KEY, b'{}', 9), _write(OTHER, 2, address='10.0.0.2:8080'))
-        context.view.take_listing(Listing(items, 9), NEVER)
+        context.view.apply_listing(Listing(items, 9), NEVER)
 
     _run(context, change)
 
@@ -229,7 +229,7 @@
         decode_target,
         decode_catalogue,
         load_member,
-        lambda item: load_page(item.content),
+        lambda item: decode_page(item.content),
         lambda item: load_record(item.content),
     )
 
--- a/features/steps/runningfleet.py
+++ b/features/steps/running_fleet.py
@@ -9,10 +9,10 @@
 from weakref import WeakSet
 
 import msgspec
-from runningrouter import (
+from running_router import (
     CALLER,
     END,
-    GRACE_S,
+    GRACE_SECONDS,
     KEY,
     OK,
     STREAM_HEAD,
@@ -34,7 +34,7 @@
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.errors import FleetError
 from ibisport_fleet.eventlog import EventLog
-from ibisport_fleet.requestreader import RequestReader
+from ibisport_fleet.request_reader import RequestReader
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import Bounds, HostSettings
 from ibisport_fleet.targets import TargetEntry
@@ -59,12 +59,12 @@
 BACK_S = 4.0
 LAPSES_S = 3.6
 SERVES_ON_S = 3.0
-START_S = 12.0
+START_SECONDS = 12.0
 LONGEST_PLAY_S = 300.0
 TARGET_PREFIX = 'servers/'
 CATALOGUE_KEY = 'op/config'
 # After so long without trouble a router must know what the others know.
-CONTACT_S = 3.0
+CONVERGENCE_SECONDS = 3.0
 
 CATALOGUE = Catalogue(
     version=1,
@@ -257,7 +257,7 @@
             target_prefix=TARGET_PREFIX,
             decode_catalogue=lambda item: CATALOGUE,
             decode_target=_decode_target,
-            name_incarnation=lambda key: key.removeprefix(TARGET_PREFIX),
+            parse_incarnation=lambda key: key.removeprefix(TARGET_PREFIX),
             load_settings=self._build_settings,
         )
         self.router = Router(self._build_settings(), adapters, self._fleet.log)
@@ -273,7 +273,7 @@
             callers_address=self.address,
             readiness_address=(ip, 81),
             store_address=('10.9.0.1', 1),
-            bounds=Bounds(1.0, 100.0, 10.0, GRACE_S),
+            bounds=Bounds(1.0, 100.0, 10.0, GRACE_SECONDS),
         )
 
 
@@ -283,9 +283,9 @@
     def __init__(self, host):
         self._mark = (b'x-router', host.encode())
 
-    def write_send(self, request, call, terms):
+    def encode_send(self, request, call, terms):
         """Return the headers for a target."""
-        return (*super().write_send(request, call, terms), self._mark)
+        return (*super().encode_send(request, call, terms), self._mark)
 
 
 class Fleet:
@@ -326,7 +326,7 @@
             await self.net.start_on(target.host, target.start())
         for router in self.routers:
             router.start()
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(START_SECONDS)
         assert all(router.ready for router in self.routers)
 
     def call(self, work):
@@ -367,7 +367,7 @@
         return answer
 
 
-def play_fleet(act, routers=4, targets=6):
+def run_fleet(act, routers=4, targets=6):
     """Start a fleet, let it be acted on, and return it.
 
     Args:
--- a/features/steps/runningrouter.py
+++ b/features/steps/running_router.py
@@ -28,7 +28,7 @@
 from ibisport_platform.headers import PlatformDialect
 
 # What the deployment promises: the process is killed so long after the signal.
-GRACE_S = 8.0
+GRACE_SECONDS = 8.0
 # Longer than any idle time-out or lease: the router runs as it does on every day.
 SIGNAL_AT_S = 20.0
 LONGEST_PLAY_S = 60.0
@@ -37,14 +37,14 @@
 ROUTER = 'router'
 CALLER = 'caller'
 KEY = 'key-of-acme'
-TIME_LIMIT_S = 15.0
+TIME_LIMIT_SECONDS = 15.0
 # A target's head and first event come so long after the request.
 FIRST_S = 0.1
 # Longer than a way there and back: a connection that ends later than this after a
 # request was sent had brought it to the router.
-ROUND_TRIP_S = 0.01
+ROUND_TRIP_SECONDS = 0.01
 # When what runs before the signal is sent, in seconds after it.
-BEFORE_S = -0.5
+BEFORE_SIGNAL_SECONDS = -0.5
 LATE_DEADLINE = 'Deadline-Ms: 1500\r\n'
 
 OK = b'HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Seal: s\r\n'
@@ -85,7 +85,9 @@
     return Reply([b''], pause=LONGEST_PLAY_S)
 
 
-def make_route(name, kind, most_targets=1, *, resumable=False, time_limit=TIME_LIMIT_S):
+def make_route(
+    name, kind, most_targets=1, *, resumable=False, time_limit=TIME_LIMIT_SECONDS
+):
     """Return a route to the only service, below the path of its name."""
     return Route(
         name=name,
@@ -96,7 +98,7 @@
         time_limit=time_limit,
         objective=0.5,
         rank=1,
-        most_targets=most_targets,
+        max_targets=most_targets,
         public=False,
         resumable=resumable,
     )
@@ -114,7 +116,7 @@
 PREPAID = replace(CATALOGUE, workspaces={'acme': Workspace('acme', 1, 1_000_000)})
 
 
-def write_request(kind, name, extra=''):
+def encode_request(kind, name, extra=''):
     """Return the bytes of a request; its name is its id."""
     return (
         f'POST /{kind}/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {name}\r\n'
@@ -282,7 +284,9 @@
         await self.wait_until(0.0)
         self.net.stand_still(stands_still)
         self._router.stop()
-        done, _ = await asyncio.wait([self._process], timeout=GRACE_S - stands_still)
+        done, _ = await asyncio.wait(
+            [self._process], timeout=GRACE_SECONDS - stands_still
+        )
         if not done:
             self.killed = True
             self.net.kill(ROUTER)
@@ -302,7 +306,7 @@
             target_prefix='servers/',
             decode_catalogue=lambda item: self._catalogue,
             decode_target=self._build_entry,
-            name_incarnation=lambda key: key.removeprefix('servers/'),
+            parse_incarnation=lambda key: key.removeprefix('servers/'),
             load_settings=_build_settings,
         )
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
@@ -324,12 +328,12 @@
         return answer.startswith(b'HTTP/1.1 200 ')
 
 
-def ask_new(site, *words):
+def send_on_new_connection(site, *words):
     """Let a caller with a connection of its own ask; see ``Caller.ask``."""
     return site.call(Caller(site).ask(*words))
 
 
-def play_stop(replies, act, catalogue=CATALOGUE, stands_still=0.0):
+def run_until_stopped(replies, act, catalogue=CATALOGUE, stands_still=0.0):
     """Run a router, let callers act, stop it, and return it and what ``act`` returns.
 
     Args:
@@ -364,5 +368,5 @@
         callers_address=CALLERS,
         readiness_address=READINESS,
         store_address=('10.0.0.9', 1),
-        bounds=Bounds(1.0, 100.0, 0.0, GRACE_S),
+        bounds=Bounds(1.0, 100.0, 0.0, GRACE_SECONDS),
     )
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from hypothesis import HealthCheck, settings, strategies
 from hypothesis import given as forall
-from runningrouter import KEY, make_route
+from running_router import KEY, make_route
 
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_bench.standins.scripted import Reply, ScriptedTarget
@@ -21,7 +21,7 @@
 from ibisport_fleet.eventlog import EventLog
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import Bounds, HostSettings
-from ibisport_fleet.shutdown import NOTICE_S
+from ibisport_fleet.shutdown import LISTENING_SECONDS
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.headers import PlatformDialect
 
@@ -118,7 +118,7 @@
             target_prefix='servers/',
             decode_catalogue=lambda item: self.catalogue,
             decode_target=self._build_entry,
-            name_incarnation=lambda key: key.removeprefix('servers/'),
+            parse_incarnation=lambda key: key.removeprefix('servers/'),
             load_settings=_build_settings,
         )
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
@@ -380,7 +380,7 @@
         await asyncio.sleep(0.1)
         site.router.stop()
         # Longer than the balancer's notice: idle connections are closed then.
-        await asyncio.sleep(NOTICE_S + 0.5)
+        await asyncio.sleep(LISTENING_SECONDS + 0.5)
         writer.write(request[-1:])
         answer = await reader.read()
         site.task.cancel()
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -4,14 +4,14 @@
 
 from behave import given, then, when
 from domains import CHANGE_BOUND_S, LONGEST_S, Domain
-from followers import open_log
+from followers import open_null_log
 
 from ibisport_bench.standins.memorystore import ANSWER_SECONDS, MemoryService
 from ibisport_bench.virtualnet import run_on_net
 from ibisport_bench.virtualtime import run_virtually
 from ibisport_fleet.errors import StoreError
-from ibisport_fleet.watchcache import WatchCache
-from ibisport_fleet.watchpace import plan_watch
+from ibisport_fleet.watch_cache import WatchCache
+from ibisport_fleet.watch_schedule import plan_router_watch
 
 FAILURE_S = 1
 
@@ -176,7 +176,7 @@
     async def open_cache():
         service = MemoryService()
         service.put('op/a', b'1')
-        cache = WatchCache(service.open_store('relay'), CHANGE_BOUND_S, open_log())
+        cache = WatchCache(service.open_store('relay'), CHANGE_BOUND_S, open_null_log())
         first = service.revision
         watch = cache.find('op/', first)
         await asyncio.sleep(0.1)
@@ -277,10 +277,10 @@
     'and {many:d} in {fewer:d} share'
 )
 def check_plan(context, few, domains, many, fewer):
-    assert not plan_watch(few, domains, CHANGE_BOUND_S).shared
-    assert plan_watch(many, fewer, CHANGE_BOUND_S).shared
+    assert not plan_router_watch(few, domains, CHANGE_BOUND_S).shared
+    assert plan_router_watch(many, fewer, CHANGE_BOUND_S).shared
 
 
 @then("routers share while it isn't known how many there are")
 def check_unknown(context):
-    assert plan_watch(None, 4, CHANGE_BOUND_S).shared
+    assert plan_router_watch(None, 4, CHANGE_BOUND_S).shared
--- a/features/steps/shutdowns_steps.py
+++ b/features/steps/shutdowns_steps.py
@@ -22,7 +22,7 @@
 from ibisport_bench.virtualtime import run_virtually
 from ibisport_core.link import Link
 from ibisport_core.messages import Accepted, Chunk, Finished
-from ibisport_fleet.budgetkeeper import PAGE_KEY
+from ibisport_fleet.budget_synchronizer import PAGE_KEY
 from ibisport_fleet.eventlog import Event
 
 # Nothing is expected to take so long; it ends a test that would hang.
--- a/features/steps/stopping_edges_steps.py
+++ b/features/steps/stopping_edges_steps.py
@@ -7,17 +7,17 @@
 from unittest import mock
 
 from behave import given, then, when
-from runningrouter import (
-    BEFORE_S,
+from running_router import (
+    BEFORE_SIGNAL_SECONDS,
     LATE_DEADLINE,
     PREPAID,
-    ROUND_TRIP_S,
-    ask_new,
+    ROUND_TRIP_SECONDS,
+    encode_request,
     make_plain,
     make_silence,
     make_stream,
-    play_stop,
-    write_request,
+    run_until_stopped,
+    send_on_new_connection,
 )
 
 from ibisport_bench.memorytransport import Link
@@ -36,11 +36,11 @@
 def fail_beside(context, seconds):
     async def act(site):
         await site.wait_until(-seconds)
-        asking = ask_new(site, write_request('stream', 'early'))
+        asking = send_on_new_connection(site, encode_request('stream', 'early'))
         site.fail_task()
         return [await asking]
 
-    context.site, context.answers = play_stop([make_stream(seconds)], act)
+    context.site, context.answers = run_until_stopped([make_stream(seconds)], act)
 
 
 @then('the process has ended by itself and tells that it failed')
@@ -61,11 +61,13 @@
     async def act(site, moment):
         await _spend_and_slow(site, write)
         await site.wait_until(1.0)
-        request = write_request('once', 'late', 'Deadline-Ms: 250\r\n')
-        return await ask_new(site, request[:-1], request[-1:], moment)
+        request = encode_request('once', 'late', 'Deadline-Ms: 250\r\n')
+        return await send_on_new_connection(site, request[:-1], request[-1:], moment)
 
     context.plays = [
-        play_stop([make_plain(), make_silence()], partial(act, moment=moment), PREPAID)
+        run_until_stopped(
+            [make_plain(), make_silence()], partial(act, moment=moment), PREPAID
+        )
         for moment in _list_moments(step, first, last)
     ]
 
@@ -78,10 +80,14 @@
     async def act(site, moment):
         await _spend_and_slow(site, write)
         await site.wait_until(moment)
-        return await ask_new(site, write_request('once', 'late', LATE_DEADLINE))
+        return await send_on_new_connection(
+            site, encode_request('once', 'late', LATE_DEADLINE)
+        )
 
     context.plays = [
-        play_stop([make_plain(), make_silence()], partial(act, moment=moment), PREPAID)
+        run_until_stopped(
+            [make_plain(), make_silence()], partial(act, moment=moment), PREPAID
+        )
         for moment in _list_around(seconds - Link().delay)
     ]
 
@@ -94,7 +100,9 @@
 async def _spend_and_slow(site, write):
     """Let the router hold tokens, so that it has an account, and slow the store."""
     await site.wait_until(-1.0)
-    await ask_new(site, write_request('once', 'early', 'Token-Usage: 90,10\r\n'))
+    await send_on_new_connection(
+        site, encode_request('once', 'early', 'Token-Usage: 90,10\r\n')
+    )
     await site.wait_until(0.0)
     site.service.faults.slow = write / ANSWER_SECONDS
 
@@ -115,13 +123,15 @@
 )
 def stop_while_still(context, still, seconds):
     async def act(site):
-        await site.wait_until(BEFORE_S)
-        early = ask_new(site, write_request('stream', 'early'))
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
+        early = send_on_new_connection(site, encode_request('stream', 'early'))
         await site.wait_until(still + seconds)
-        return await early, await ask_new(site, write_request('stream', 'late'))
+        return await early, await send_on_new_connection(
+            site, encode_request('stream', 'late')
+        )
 
     replies = [make_stream(context.lengths[0])]
-    context.site, context.answers = play_stop(replies, act, stands_still=still)
+    context.site, context.answers = run_until_stopped(replies, act, stands_still=still)
 
 
 @when('a stop is planned with a grace time of {grace:g} s')
@@ -138,7 +148,7 @@
         one.begun_at,
         one.accepts_until,
         one.listening_until,
-        one.accounts_at,
+        one.settlement_at,
         one.answers_until,
         one.ends_at,
         killed_at,
@@ -152,16 +162,16 @@
     'request runs out'
 )
 def stop_beside_timeout(context, grace):
-    request = write_request('once', 'short', 'Deadline-Ms: 999\r\n')
+    request = encode_request('once', 'short', 'Deadline-Ms: 999\r\n')
 
     async def act(site, moment):
         # One millisecond on the way: its time is over in the turn of the signal.
         await site.wait_until(moment)
-        return await ask_new(site, request)
+        return await send_on_new_connection(site, request)
 
-    with mock.patch('runningrouter.GRACE_S', grace):
+    with mock.patch('running_router.GRACE_SECONDS', grace):
         context.plays = [
-            play_stop(context.replies, partial(act, moment=moment))
+            run_until_stopped(context.replies, partial(act, moment=moment))
             for moment in _list_around(-1.0)
         ]
 
@@ -245,4 +255,4 @@
 def _crossed(site, answer):
     """Whether a request met a close on its way, so that nobody has read it."""
     took = answer.ended_at - answer.sent_at
-    return took <= ROUND_TRIP_S and not site.has_got('late')
+    return took <= ROUND_TRIP_SECONDS and not site.has_got('late')
--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -6,17 +6,17 @@
 from unittest import mock
 
 from behave import given, then, when
-from runningrouter import (
+from running_router import (
     CALLER,
     PREPAID,
-    ROUND_TRIP_S,
+    ROUND_TRIP_SECONDS,
     ROUTER,
-    TIME_LIMIT_S,
+    TIME_LIMIT_SECONDS,
     Caller,
+    encode_request,
     make_burst,
     make_stream,
-    play_stop,
-    write_request,
+    run_until_stopped,
 )
 
 from ibisport_bench.memorytransport import Link
@@ -57,12 +57,12 @@
 
 def _draw_asked(chance, number):
     kind = chance.choice(('stream', 'stream', 'idempotent', 'once'))
-    limit = chance.choice((TIME_LIMIT_S, chance.uniform(0.1, 4.0)))
+    limit = chance.choice((TIME_LIMIT_SECONDS, chance.uniform(0.1, 4.0)))
     extra = f'{TOKENS}Deadline-Ms: {round(limit * 1_000)}\r\n'
     rest = chance.choice((0.0, 0.0, 0.0, chance.uniform(0.05, 3.0)))
     name = f'call-{number}'
     pause = chance.choice((0.0, chance.uniform(0.0, 2.0)))
-    return _Asked(name, write_request(kind, name, extra), limit, pause, rest)
+    return _Asked(name, encode_request(kind, name, extra), limit, pause, rest)
 
 
 def _draw_play(seed):
@@ -103,8 +103,8 @@
         turns = await asyncio.gather(*asking)
         return [one for turn in turns for one in turn]
 
-    with mock.patch('runningrouter.GRACE_S', plan.grace):
-        return plan, *play_stop(plan.replies, act, PREPAID)
+    with mock.patch('running_router.GRACE_SECONDS', plan.grace):
+        return plan, *run_until_stopped(plan.replies, act, PREPAID)
 
 
 def _find_fault(plan, site, asked, answer):
@@ -113,9 +113,11 @@
     if answer.whole or answer.refused:
         return 'ran though refused' if ran and answer.status == 503 else None
     if not ran:
-        late = answer.ended_at - answer.sent_at > ROUND_TRIP_S + 2 * plan.link.delay
+        late = (
+            answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS + 2 * plan.link.delay
+        )
         return 'read, and closed without an answer' if late else None
-    if answer.ended_at >= answer.sent_at + asked.limit - ROUND_TRIP_S:
+    if answer.ended_at >= answer.sent_at + asked.limit - ROUND_TRIP_SECONDS:
         return None
     near_end = answer.ended_at >= plan.grace * (1 - LAST_SHARE)
     return None if answer.sent_at <= LATEST_SEND_S and near_end else 'run, and cut off'
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -3,22 +3,22 @@
 import asyncio
 
 from behave import given, then, when
-from runningrouter import (
-    BEFORE_S,
+from running_router import (
+    BEFORE_SIGNAL_SECONDS,
     CALLER,
-    GRACE_S,
+    GRACE_SECONDS,
     LATE_DEADLINE,
     PREPAID,
-    ROUND_TRIP_S,
+    ROUND_TRIP_SECONDS,
     ROUTER,
     Caller,
-    ask_new,
+    encode_request,
     make_burst,
     make_plain,
     make_silence,
     make_stream,
-    play_stop,
-    write_request,
+    run_until_stopped,
+    send_on_new_connection,
 )
 
 from ibisport_bench.memorytransport import Link
@@ -57,14 +57,17 @@
         caller = Caller(site)
         if age == 'kept':
             await site.wait_until(-1.0)
-            earlier = await site.call(caller.ask(write_request('idempotent', 'before')))
+            earlier = await site.call(
+                caller.ask(encode_request('idempotent', 'before'))
+            )
             assert earlier.whole and earlier.status == 200, earlier
         await site.wait_until(seconds)
-        return await site.call(caller.ask(write_request('stream', 'late')))
+        return await site.call(caller.ask(encode_request('stream', 'late')))
 
     before = [make_plain()] if age == 'kept' else []
     context.plays = [
-        play_stop([*before, make_stream(length)], act) for length in context.lengths
+        run_until_stopped([*before, make_stream(length)], act)
+        for length in context.lengths
     ]
 
 
@@ -89,11 +92,11 @@
     async def act(site):
         caller = Caller(site)
         await site.wait_until(begun_at)
-        earlier = await site.call(caller.ask(write_request('stream', 'early')))
-        return earlier, await site.call(caller.ask(write_request('stream', 'late')))
+        earlier = await site.call(caller.ask(encode_request('stream', 'early')))
+        return earlier, await site.call(caller.ask(encode_request('stream', 'late')))
 
     replies = [make_stream(seconds - begun_at), make_stream(context.lengths[0])]
-    context.site, context.answers = play_stop(replies, act)
+    context.site, context.answers = run_until_stopped(replies, act)
 
 
 @then('the earlier stream is whole')
@@ -114,12 +117,12 @@
 def ask_both(context, seconds):
     async def act(site):
         await site.wait_until(seconds)
-        stream = ask_new(site, write_request('stream', 'stream'))
-        plain = ask_new(site, write_request('once', 'plain'))
+        stream = send_on_new_connection(site, encode_request('stream', 'stream'))
+        plain = send_on_new_connection(site, encode_request('once', 'plain'))
         return await stream, await plain
 
     replies = [make_stream(context.lengths[0]), make_plain()]
-    context.site, context.answers = play_stop(replies, act)
+    context.site, context.answers = run_until_stopped(replies, act)
 
 
 @then('both answers are whole and say that the connection closes')
@@ -139,28 +142,28 @@
     'each {step:g} s from {first:g} s on until the grace time ends'
 )
 def ask_for_tokens(context, step, first):
-    count = round((GRACE_S - first) / step)
+    count = round((GRACE_SECONDS - first) / step)
     moments = [round(first + step * number, 3) for number in range(count)]
 
     async def ask(site, moment):
         # Its body comes late: the connection isn't idle, and stays.
         extra = 'Token-Usage: 90000,100\r\n'
-        request = write_request('idempotent', f'at-{moment}', extra)
+        request = encode_request('idempotent', f'at-{moment}', extra)
         return await Caller(site).ask(request[:-1], request[-1:], moment)
 
     async def act(site):
-        await site.wait_until(BEFORE_S)
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
         # The process has a reason to stay as long as a stream runs.
-        holding = ask_new(site, write_request('stream', 'holding'))
-        await asyncio.sleep(ROUND_TRIP_S)
+        holding = send_on_new_connection(site, encode_request('stream', 'holding'))
+        await asyncio.sleep(ROUND_TRIP_SECONDS)
         asking = [site.call(ask(site, moment)) for moment in moments]
         await site.wait_until(first - 1.0)
         site.service.faults.slow = STORE_SLOWNESS
         answers = await asyncio.gather(holding, *asking)
         return answers[1:]
 
-    replies = [make_stream(GRACE_S - BEFORE_S)]
-    context.site, answers = play_stop(replies, act, context.catalogue)
+    replies = [make_stream(GRACE_SECONDS - BEFORE_SIGNAL_SECONDS)]
+    context.site, answers = run_until_stopped(replies, act, context.catalogue)
     context.answers = dict(zip(moments, answers, strict=True))
 
 
@@ -171,7 +174,7 @@
     for moment, answer in context.answers.items():
         assert not context.site.has_got(f'at-{moment}'), answer
         if answer.status is None:
-            if answer.ended_at - answer.sent_at > ROUND_TRIP_S:
+            if answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS:
                 wrong.append(answer)
             continue
         assert answer.whole and answer.status == 503, answer
@@ -190,13 +193,13 @@
     kinds = ('stream', 'idempotent', 'once')
 
     async def act(site):
-        await site.wait_until(BEFORE_S)
-        asking = [ask_new(site, write_request(k, k)) for k in kinds]
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
+        asking = [send_on_new_connection(site, encode_request(k, k)) for k in kinds]
         answers = await asyncio.gather(*asking)
         assert all(site.has_got(kind) for kind in kinds), site.target.requests
         return answers
 
-    context.site, context.answers = play_stop(context.replies, act)
+    context.site, context.answers = run_until_stopped(context.replies, act)
 
 
 @then('each gets a final status that does not say that it did not run')
@@ -219,11 +222,11 @@
         await site.wait_until(seconds)
         asking = []
         for kind in ('idempotent', 'stream'):
-            asking.append(ask_new(site, write_request(kind, kind)))
-            await asyncio.sleep(ROUND_TRIP_S)
+            asking.append(send_on_new_connection(site, encode_request(kind, kind)))
+            await asyncio.sleep(ROUND_TRIP_SECONDS)
         return await asyncio.gather(*asking)
 
-    context.site, context.answers = play_stop(context.replies, act)
+    context.site, context.answers = run_until_stopped(context.replies, act)
 
 
 @then('the callers get every byte')
@@ -239,11 +242,11 @@
 )
 def ask_before(context, seconds):
     async def act(site):
-        await site.wait_until(BEFORE_S)
-        return [await ask_new(site, write_request('stream', 'early'))]
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
+        return [await send_on_new_connection(site, encode_request('stream', 'early'))]
 
-    replies = [make_stream(seconds - BEFORE_S)]
-    context.site, context.answers = play_stop(replies, act)
+    replies = [make_stream(seconds - BEFORE_SIGNAL_SECONDS)]
+    context.site, context.answers = run_until_stopped(replies, act)
 
 
 @when(
@@ -252,16 +255,16 @@
 )
 def ask_beside(context, seconds, first, second):
     async def act(site):
-        await site.wait_until(BEFORE_S)
-        asking = [ask_new(site, write_request('stream', 'early'))]
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
+        asking = [send_on_new_connection(site, encode_request('stream', 'early'))]
         for moment in (first, second):
             await site.wait_until(moment)
-            request = write_request('once', f'at-{moment}', LATE_DEADLINE)
-            asking.append(ask_new(site, request))
+            request = encode_request('once', f'at-{moment}', LATE_DEADLINE)
+            asking.append(send_on_new_connection(site, request))
         return await asyncio.gather(*asking)
 
-    replies = [make_stream(seconds - BEFORE_S), make_plain()]
-    context.site, context.answers = play_stop(replies, act)
+    replies = [make_stream(seconds - BEFORE_SIGNAL_SECONDS), make_plain()]
+    context.site, context.answers = run_until_stopped(replies, act)
 
 
 @when(
@@ -270,15 +273,15 @@
 )
 def ask_on_fresh(context, seconds, first, pause):
     async def act(site):
-        await site.wait_until(BEFORE_S)
-        early = ask_new(site, write_request('stream', 'early'))
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
+        early = send_on_new_connection(site, encode_request('stream', 'early'))
         await site.wait_until(first)
-        request = write_request('once', 'fresh', LATE_DEADLINE)
-        fresh = ask_new(site, b'', request, first + pause)
+        request = encode_request('once', 'fresh', LATE_DEADLINE)
+        fresh = send_on_new_connection(site, b'', request, first + pause)
         return await asyncio.gather(early, fresh)
 
-    replies = [make_stream(seconds - BEFORE_S), make_plain()]
-    context.site, context.answers = play_stop(replies, act)
+    replies = [make_stream(seconds - BEFORE_SIGNAL_SECONDS), make_plain()]
+    context.site, context.answers = run_until_stopped(replies, act)
 
 
 @when(
@@ -288,14 +291,18 @@
 )
 def ask_late(context, seconds, first, second):
     async def act(site):
-        await site.wait_until(BEFORE_S)
-        early = ask_new(site, write_request('stream', 'early'))
-        kept = ask_new(site, b'', write_request('stream', 'kept'), first)
+        await site.wait_until(BEFORE_SIGNAL_SECONDS)
+        early = send_on_new_connection(site, encode_request('stream', 'early'))
+        kept = send_on_new_connection(
+            site, b'', encode_request('stream', 'kept'), first
+        )
         await site.wait_until(second)
-        new = await ask_new(site, write_request('stream', 'new'))
+        new = await send_on_new_connection(site, encode_request('stream', 'new'))
         return await early, await kept, new
 
-    context.site, context.answers = play_stop([make_stream(seconds - BEFORE_S)], act)
+    context.site, context.answers = run_until_stopped(
+        [make_stream(seconds - BEFORE_SIGNAL_SECONDS)], act
+    )
 
 
 @then(
@@ -308,7 +315,7 @@
         _check_refusal(context.site, answer, name)
     assert float(kept.headers[b'retry-after']) <= pause, kept
     back_at = new.sent_at + float(new.headers[b'retry-after'])
-    assert least <= back_at + ROUND_TRIP_S < most + ROUND_TRIP_S * 2, new
+    assert least <= back_at + ROUND_TRIP_SECONDS < most + ROUND_TRIP_SECONDS * 2, new
 
 
 @then('all answers are whole')
@@ -336,5 +343,5 @@
         _check_refusal(site, answer, name)
         return
     assert not site.has_got(name), (answer, site.ended_at)
-    late = not answer.refused and answer.ended_at - answer.sent_at > ROUND_TRIP_S
+    late = not answer.refused and answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS
     assert not late, (answer, site.ended_at)
--- a/features/steps/storecalls_steps.py
+++ b/features/steps/storecalls_steps.py
@@ -3,22 +3,22 @@
 import asyncio
 
 from behave import given, then, when
-from followers import KeptLog, NewestContent, open_log
+from followers import KeptLog, NewestContent, open_null_log
 
 from ibisport_bench.memorytransport import Link
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_bench.virtualnet import run_on_net
-from ibisport_fleet.connections import ConnectionTasks
-from ibisport_fleet.contact import StoreContact
+from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.errors import StoreError, StoreUnknown
 from ibisport_fleet.eventlog import Event
-from ibisport_fleet.following import PrefixWatch
+from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.store import Condition, Put
-from ibisport_fleet.storepaths import RelayPlace, StorePaths
-from ibisport_fleet.watchpace import plan_watch
+from ibisport_fleet.store_contact import StoreContact
+from ibisport_fleet.store_paths import RelayEndpoint, StorePaths
+from ibisport_fleet.watch_schedule import plan_router_watch
 from ibisport_platform.records import CATALOGUE_KEY, CATALOGUE_PREFIX
 from ibisport_platform.store import PlatformStore
-from ibisport_platform.storeserver import StoreServer
+from ibisport_platform.store_server import StoreServer
 
 STORE = ('10.0.0.1', 80)
 RELAY = ('10.0.0.2', 7200)
@@ -32,7 +32,7 @@
 
 def plan_alone():
     """Return how a router without others watches."""
-    return plan_watch(1, 1, CHANGE_BOUND_S)
+    return plan_router_watch(1, 1, CHANGE_BOUND_S)
 
 
 def make_content(number, size):
@@ -57,9 +57,9 @@
             net.links['store', 'router'] = link
         serving = context.serve()
         await net.start_on('store', listen(net, STORE, serving))
-        relay = ConnectionTasks(count_relayed, 'relay', open_log())
+        relay = ConnectionTasks(count_relayed, 'relay', open_null_log())
         await net.start_on('relay', listen(net, RELAY, relay))
-        places = [RelayPlace(RELAY, DOMAIN)]
+        places = [RelayEndpoint(RELAY, DOMAIN)]
         context.paths = StorePaths(STORE, DOMAIN, lambda: places)
         async with asyncio.timeout(LONGEST_S):
             context.log = KeptLog()
@@ -75,7 +75,9 @@
 
     def serve():
         context.service = MemoryService()
-        return StoreServer(context.service.open_store('all'), open_log()).connections
+        return StoreServer(
+            context.service.open_store('all'), open_null_log()
+        ).connections
 
     context.serve = serve
 
@@ -94,7 +96,7 @@
                 context.heard_at.append(asyncio.get_running_loop().time())
         await asyncio.sleep(LONGEST_S)
 
-    context.serve = lambda: ConnectionTasks(serve, 'store', open_log())
+    context.serve = lambda: ConnectionTasks(serve, 'store', open_null_log())
 
 
 @given('a store that stops in the middle of its answer')
@@ -138,7 +140,7 @@
 
 @then('the straight way to the store still counts as working')
 def check_straight(context):
-    assert context.paths.straight_works
+    assert context.paths.direct_works
 
 
 @then('the listing is whole')
@@ -196,7 +198,7 @@
         service.put(CATALOGUE_KEY, make_content(0, size))
         contact = StoreContact(asyncio.get_running_loop().time())
         watch = PrefixWatch(
-            store, CATALOGUE_PREFIX, view, open_log(), contact, plan_alone
+            store, CATALOGUE_PREFIX, view, open_null_log(), contact, plan_alone
         )
         listed = asyncio.Event()
         task = asyncio.get_running_loop().create_task(watch.run(listed.set))
--- a/features/steps/targetlimits_steps.py
+++ b/features/steps/targetlimits_steps.py
@@ -4,7 +4,7 @@
 from bisect import bisect_right
 
 from behave import then, when
-from runningfleet import CONTACT_S, START_S, play_fleet
+from running_fleet import CONVERGENCE_SECONDS, START_SECONDS, run_fleet
 
 PAUSE_S = 0.02
 NAMED_AFTER_S = 2.0
@@ -37,8 +37,8 @@
         await asyncio.gather(fleet.press(PAUSE_S, span, _make_body), limit(fleet))
 
     context.rate, context.limited = rate, count
-    context.fleet = play_fleet(act, *context.size)
-    context.named_at = START_S + NAMED_AFTER_S
+    context.fleet = run_fleet(act, *context.size)
+    context.named_at = START_SECONDS + NAMED_AFTER_S
     context.ended_at = context.named_at + seconds
 
 
@@ -83,7 +83,7 @@
         and one.at <= context.ended_at
         and fleet.told.get((incarnation, one.router), one.at) <= one.at - TOLD_S
     ]
-    since = context.named_at + CONTACT_S
+    since = context.named_at + CONVERGENCE_SECONDS
     sizes = [
         number + 1 - bisect_right(counted, at - WINDOW_S)
         for number, at in enumerate(counted)
@@ -105,7 +105,7 @@
 
 @then('the targets get at least {share:g} of what they take')
 def check_used(context, share):
-    since, until = context.named_at + CONTACT_S, context.ended_at
+    since, until = context.named_at + CONVERGENCE_SECONDS, context.ended_at
     sent = sum(since <= one.at <= until for one in context.fleet.arrivals)
     takes = context.rate * context.limited * (until - since)
     assert sent >= share * takes, (sent, takes)
--- a/packages/bench/src/ibisport_bench/budgetworld.py
+++ b/packages/bench/src/ibisport_bench/budgetworld.py
@@ -8,17 +8,17 @@
 
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_fleet.addresses import Address
-from ibisport_fleet.budgetkeeper import PAGE_KEY
-from ibisport_fleet.budgetpage import load_page
-from ibisport_fleet.budgets import Budgets, Short
+from ibisport_fleet.budget_page import decode_page
+from ibisport_fleet.budget_synchronizer import PAGE_KEY
+from ibisport_fleet.budgets import Budgets, TokensUnavailable
 from ibisport_fleet.catalogue import Catalogue, Workspace
 from ibisport_fleet.clocks import Clocks
 from ibisport_fleet.errors import PeerUnavailable, RecordInvalid
 from ibisport_fleet.eventlog import EventLog
-from ibisport_fleet.fleetview import CatalogueView
+from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.loans import Loan, LoanRequest
 from ibisport_fleet.membership import Membership
-from ibisport_fleet.shutdown import WHOLE_GRACE_S, plan_shutdown
+from ibisport_fleet.shutdown import REFERENCE_GRACE_SECONDS, plan_shutdown
 from ibisport_fleet.store import Item
 
 RESTART_SECONDS = 1.2
@@ -138,7 +138,7 @@
 
     def count_stranded(self) -> int:
         """Return what counts as spent in the page or at a host, and was not."""
-        page = load_page(self.service.items[PAGE_KEY].content)
+        page = decode_page(self.service.items[PAGE_KEY].content)
         counted = sum(account.closed for account in page.accounts.values())
         for host in self._hosts:
             if host.budgets is not None:
@@ -174,8 +174,8 @@
         )
         self._spawn(host, members.run())
         self._spawn(host, host.budgets.run())
-        self._spawn(host, host.budgets.grant_proofs())
-        self._spawn(host, host.budgets.repay())
+        self._spawn(host, host.budgets.run_proof_renewals())
+        self._spawn(host, host.budgets.run_repayments())
 
     def kill(self, number: int) -> None:
         """Kill a host's process; another starts a moment later."""
@@ -212,7 +212,7 @@
         if budgets is None:
             return
         now = asyncio.get_running_loop().time()
-        budgets.leave(plan_shutdown(now, WHOLE_GRACE_S))
+        budgets.leave(plan_shutdown(now, REFERENCE_GRACE_SECONDS))
         await asyncio.sleep(seconds)
         if host.budgets is not budgets:
             # It was killed meanwhile.
@@ -274,8 +274,8 @@
             return
         try:
             held = await budgets.reserve(workspace, tokens)
-        except Short as short:
-            self.outcomes['spent' if short.pause is None else 'short'] += 1
+        except TokensUnavailable as short:
+            self.outcomes['spent' if short.retry_after is None else 'short'] += 1
             return
         # Until it has ended nobody can tell how much of it was delivered.
         self._count(host, workspace, tokens)
--- a/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
@@ -12,7 +12,7 @@
 
 from ibisport_bench.budgetworld import BudgetWorld
 from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.budgetkeeper import PAGE_KEY
+from ibisport_fleet.budget_synchronizer import PAGE_KEY
 
 HOSTS = 30
 WORKSPACES = 24
--- a/packages/bench/src/ibisport_bench/experiments/budgets.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgets.py
@@ -12,8 +12,8 @@
 
 from ibisport_bench.budgetworld import BudgetWorld
 from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.budgetkeeper import PAGE_KEY
-from ibisport_fleet.budgetpage import load_page
+from ibisport_fleet.budget_page import decode_page
+from ibisport_fleet.budget_synchronizer import PAGE_KEY
 
 BUDGET = 4_000_000
 # Mean tokens of a request; sizes are drawn from these.
@@ -89,7 +89,7 @@
     asked = max(1, world.outcomes.total())
     spent = (world.service.calls - calls) / asked
     await asyncio.sleep(RECOVERY_SECONDS)
-    page = load_page(world.service.items[PAGE_KEY].content)
+    page = decode_page(world.service.items[PAGE_KEY].content)
     stranded = max(0, page.find('acme').closed - world.delivered)
     return {
         'overspent': float(max(0, world.delivered - BUDGET)),
--- a/packages/bench/src/ibisport_bench/experiments/placing.py
+++ b/packages/bench/src/ibisport_bench/experiments/placing.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ibisport_fleet.choice import Candidate, TargetHealth
-from ibisport_fleet.enginechoice import choose_engine
-from ibisport_fleet.promptmix import PromptMix, Split
+from ibisport_fleet.engine_choice import choose_engine
+from ibisport_fleet.metadata import PromptPart
+from ibisport_fleet.prompt_mix import EngineSplit, PromptMix
+from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry
-from ibisport_fleet.terms import PromptPart
 
 PIECE_TOKENS = 2_048
 ENGINES = 8
@@ -23,7 +23,8 @@
 SHORT_PER_SECOND = 13.7
 
 Chooser = Callable[
-    [Sequence[Candidate], Sequence[PromptPart], float, Split | None], Candidate | None
+    [Sequence[Candidate], Sequence[PromptPart], float, EngineSplit | None],
+    Candidate | None,
 ]
 
 
@@ -78,7 +79,7 @@
     def note_token(self, now: float, figures: Figures) -> None:
         """Generate one token."""
         self.tokens -= 1
-        self.health.heard_at = now / 1_000
+        self.health.last_received_at = now / 1_000
         if self.tokens % figures.tokens_per_event:
             return
         if self._last_event >= 0:
@@ -114,10 +115,10 @@
 
     def _end(self, answer: Answer, ended: list[Answer]) -> None:
         self.running.remove(answer)
-        answer.health.end()
+        answer.health.end_request()
         pause = answer.longest_pause / 1_000
         accepted = self.figures.longest_pause_ms / 1_000
-        answer.mix.note_answer(answer.prompt, pause, accepted, self.now / 1_000)
+        answer.mix.record_answer(answer.prompt, pause, accepted, self.now / 1_000)
         ended.append(answer)
 
     def _read(self) -> float:
@@ -127,7 +128,7 @@
         first = self.waiting[0]
         piece = min(PIECE_TOKENS, first.unread)
         first.unread -= piece
-        first.health.unread -= piece
+        first.health.pending_prompt_tokens -= piece
         first.context += piece
         if not first.unread:
             self.waiting.pop(0)
@@ -202,11 +203,11 @@
         unread = parts[-1].tokens + sum(part.tokens for part in shared)
         cached = sum(part.tokens for part in parts) - unread
         engine.cached.update(part.part_id for part in parts[:-1])
-        health.begin(now / 1_000)
-        health.unread += unread
+        health.begin_request(now / 1_000)
+        health.pending_prompt_tokens += unread
         prompt = sum(part.tokens for part in parts)
-        mix.note_prompt(prompt, unread, now / 1_000)
-        health.note_parts(parts, now / 1_000)
+        mix.record_prompt(prompt, unread, now / 1_000)
+        health.record_parts(parts, now / 1_000)
         events = 13 if long else 73
         tokens = events * self._figures.tokens_per_event
         answer = Answer(health, unread, cached, tokens, long, mix, prompt)
@@ -245,7 +246,7 @@
     candidates: Sequence[Candidate],
     parts: Sequence[PromptPart],
     now: float,
-    split: Split | None = None,
+    split: EngineSplit | None = None,
 ) -> Candidate | None:
     """Choose the engine with the fewest requests of this router: the baseline."""
     return min(candidates, key=lambda one: one.health.running)
@@ -255,7 +256,7 @@
     candidates: Sequence[Candidate],
     parts: Sequence[PromptPart],
     now: float,
-    split: Split | None = None,
+    split: EngineSplit | None = None,
 ) -> Candidate | None:
     """Choose as shipped, but never keep long prompts apart."""
     return choose_engine(candidates, parts, now)
--- a/packages/bench/src/ibisport_bench/soak/callers.py
+++ b/packages/bench/src/ibisport_bench/soak/callers.py
@@ -12,7 +12,7 @@
 from ibisport_bench.soak.targets import FATAL
 from ibisport_bench.soak.wire import MessageInvalid, dump_message, read_body, read_head
 from ibisport_platform.headers import HOST, SEAL
-from ibisport_platform.standinrecords import dump_call_headers
+from ibisport_platform.stand_in_records import encode_request_headers
 
 SITE_HOST = 'soak.example'
 # Connections that are held open without a request, for each router.
@@ -181,7 +181,7 @@
         ask.router, ask.start = host.name, line.start
         key = dict(self._keys).get(ask.workspace)
         tokens = (ask.prompt, ask.events) if ask.events else None
-        headers = dump_call_headers(ask.request_id, key, tokens, CALLER_SECONDS)
+        headers = encode_request_headers(ask.request_id, key, tokens, CALLER_SECONDS)
         headers.append((HOST, SITE_HOST.encode()))
         method = 'GET' if ask.kind is Kind.mark else 'POST'
         line.writer.write(dump_message(f'{method} {ask.path} HTTP/1.1', headers, b'x'))
--- a/packages/bench/src/ibisport_bench/soak/mutants.py
+++ b/packages/bench/src/ibisport_bench/soak/mutants.py
@@ -12,15 +12,15 @@
 
 from ibisport_fleet.budgets import Budgets
 from ibisport_fleet.catalogue import Route, Workspace
-from ibisport_fleet.choice import Candidate
-from ibisport_fleet.fatalrequests import FatalRequests
-from ibisport_fleet.fleetview import CatalogueView
+from ibisport_fleet.fatal_requests import FatalRequests
+from ibisport_fleet.fleet_view import CatalogueView
+from ibisport_fleet.forwarding import RequestFailed, RequestForwarder
 from ibisport_fleet.ledger import Reservation
-from ibisport_fleet.limits import TargetLimits
-from ibisport_fleet.replies import Replies
+from ibisport_fleet.response_writer import ResponseWriter
 from ibisport_fleet.router import Router
-from ibisport_fleet.serving import GivenUp, Serving
 from ibisport_fleet.store import Change, Item
+from ibisport_fleet.target_choice import Candidate
+from ibisport_fleet.target_limits import TargetLimits
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.records import decode_target
 
@@ -77,15 +77,15 @@
 def promise_after_run() -> None:
     """Answer that a request has not run when its target broke off."""
 
-    def note_break(self: Serving, candidate: Candidate, reason: str) -> None:
-        raise GivenUp(UNAVAILABLE, reason)
+    def note_break(self: RequestForwarder, candidate: Candidate, reason: str) -> None:
+        raise RequestFailed(UNAVAILABLE, reason)
 
-    patch(Serving, '_note_break', note_break)
+    patch(RequestForwarder, '_note_break', note_break)
 
 
 def end_broken() -> None:
     """End a stream that broke off as if it were whole."""
-    patch(Replies, 'break_off', Replies.end_stream)
+    patch(ResponseWriter, 'break_off', ResponseWriter.end_stream)
 
 
 def lend_without_end() -> None:
@@ -111,12 +111,12 @@
 
 def overlook_versions() -> None:
     """Keep the first version of the catalogue until the next listing."""
-    patch(CatalogueView, 'take_change', lambda view, change, until: None)
+    patch(CatalogueView, 'apply_change', lambda view, change, until: None)
 
 
 def go_back() -> None:
     """Go by the version before for a while."""
-    take = CatalogueView.take_change
+    take = CatalogueView.apply_change
 
     def swing(self: CatalogueView, change: Change, doubtful_until: float) -> None:
         before = self.current
@@ -127,7 +127,7 @@
         loop.call_later(BACK_AFTER_S, patch, self, 'current', before)
         loop.call_later(FORTH_AFTER_S, patch, self, 'current', self.current)
 
-    patch(CatalogueView, 'take_change', swing)
+    patch(CatalogueView, 'apply_change', swing)
 
 
 def never_end() -> None:
@@ -141,7 +141,7 @@
 
 def send_fatal() -> None:
     """Send requests under which targets end like any other."""
-    patch(FatalRequests, 'find_pause', lambda fatal, digest: None)
+    patch(FatalRequests, 'find_remaining_seconds', lambda fatal, digest: None)
 
 
 def overlook_limits() -> None:
--- a/packages/bench/src/ibisport_bench/soak/processes.py
+++ b/packages/bench/src/ibisport_bench/soak/processes.py
@@ -10,7 +10,7 @@
 from ibisport_bench.soak.evidence import Cause, Journal, Start, read_clock
 from ibisport_fleet.settings import HostSettings
 from ibisport_platform.settings import SETTINGS_VARIABLE
-from ibisport_platform.standinrecords import dump_settings
+from ibisport_platform.stand_in_records import format_settings
 
 PROGRAM = 'ibisport_platform'
 
@@ -53,7 +53,7 @@
 
     async def launch(self) -> None:
         """Start the process."""
-        self._file.write_text(dump_settings(self.settings))
+        self._file.write_text(format_settings(self.settings))
         environment = {**os.environ, SETTINGS_VARIABLE: str(self._file)}
         self.start = Start(self.name, self.start.number + 1, read_clock())
         self._journal.starts.append(self.start)
@@ -102,7 +102,7 @@
         """Change the settings file and send SIGHUP."""
         bounds = replace(self.settings.bounds, retry_slack=retry_slack)
         self.settings = replace(self.settings, bounds=bounds)
-        self._file.write_text(dump_settings(self.settings))
+        self._file.write_text(format_settings(self.settings))
         with self._journal.note(Cause.reload, self.name, f'slack {retry_slack}'):
             self.tell(signal.SIGHUP)
 
--- a/packages/bench/src/ibisport_bench/soak/site.py
+++ b/packages/bench/src/ibisport_bench/soak/site.py
@@ -26,8 +26,8 @@
 from ibisport_fleet.settings import Bounds, HostSettings
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.records import CATALOGUE_KEY
-from ibisport_platform.standinrecords import dump_catalogue
-from ibisport_platform.storeserver import StoreServer
+from ibisport_platform.stand_in_records import encode_catalogue
+from ibisport_platform.store_server import StoreServer
 
 GRACE_S = 8.0
 RELAYS = 2
@@ -110,7 +110,7 @@
     def publish(self) -> int:
         """Write the next version of the catalogue, as an operator does."""
         self._version += self._random.randint(1, 3)
-        content = dump_catalogue(self._make_catalogue(self._version))
+        content = encode_catalogue(self._make_catalogue(self._version))
         self.service.put(CATALOGUE_KEY, content)
         self._journal.versions[self._version] = read_clock()
         fault = self._journal.begin(Cause.catalogue, 'all', f'{self._version}')
@@ -192,7 +192,7 @@
         time_limit=ROUTE_SECONDS,
         objective=1.0,
         rank=1,
-        most_targets=MOST_TARGETS,
+        max_targets=MOST_TARGETS,
         public=False,
         resumable=False,
     )
--- a/packages/bench/src/ibisport_bench/soak/targets.py
+++ b/packages/bench/src/ibisport_bench/soak/targets.py
@@ -35,7 +35,7 @@
     SERVER_LIMIT,
     WORKER_LOAD,
 )
-from ibisport_platform.standinrecords import dump_target
+from ibisport_platform.stand_in_records import encode_target
 
 POLL_SECONDS = 0.1
 # A fatal request names the seconds after which its target ends.
@@ -90,7 +90,7 @@
         self.rate: float | None = None
         self._service = service
         self._journal = journal
-        self._random = random.Random(f'{entry.incarnation} {entry.born}')
+        self._random = random.Random(f'{entry.incarnation} {entry.started_at_ms}')
         self._numbers = itertools.count(1)
         self._running = 0
         self._seq = 0
@@ -120,7 +120,7 @@
     async def withdraw(self) -> None:
         """Remove the entry."""
         await self._wait_for_store()
-        self._service.remove(dump_target(self.entry, self._seq)[0])
+        self._service.remove(encode_target(self.entry, self._seq)[0])
 
     def end(self) -> None:
         """Close the listener and all connections."""
@@ -135,7 +135,7 @@
     async def _announce(self) -> None:
         await self._wait_for_store()
         self._seq += 1
-        key, content = dump_target(self.entry, self._seq)
+        key, content = encode_target(self.entry, self._seq)
         self._service.put(key, content)
 
     async def _wait_for_store(self) -> None:
--- a/packages/bench/src/ibisport_bench/standins/memorystore.py
+++ b/packages/bench/src/ibisport_bench/standins/memorystore.py
@@ -13,14 +13,14 @@
 )
 from ibisport_fleet.store import (
     Change,
-    Changes,
     Condition,
     Conflict,
     Item,
     Listing,
     Put,
     Removal,
-    WatchTerms,
+    WatchOptions,
+    WatchResult,
     Written,
 )
 
@@ -204,7 +204,7 @@
         await self._carry(items)
         return Listing(tuple(items), revision)
 
-    async def watch(self, prefix: str, after: int, terms: WatchTerms) -> Changes:
+    async def watch(self, prefix: str, after: int, terms: WatchOptions) -> WatchResult:
         """Return what changed after a revision."""
         await self._travel()
         if after < self._service.first_kept:
@@ -219,10 +219,10 @@
         await self._travel()
         written = [one for one in changes if isinstance(one, Item)]
         size = sum(len(one.content) for one in written)
-        if terms.most_bytes and size > terms.most_bytes:
+        if terms.max_bytes and size > terms.max_bytes:
             raise ChangesTooLong(prefix)
         await self._carry(written)
-        return Changes(changes, revision)
+        return WatchResult(changes, revision)
 
     async def write(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
--- a/packages/bench/src/ibisport_bench/standins/scripted.py
+++ b/packages/bench/src/ibisport_bench/standins/scripted.py
@@ -7,8 +7,8 @@
 from ibisport_fleet.catalogue import Limits
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.errors import FleetError
-from ibisport_fleet.messages import Request
-from ibisport_fleet.requestreader import RequestReader
+from ibisport_fleet.http_messages import Request
+from ibisport_fleet.request_reader import RequestReader
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fleet/src/ibisport_fleet/adapters.py
+++ b/packages/fleet/src/ibisport_fleet/adapters.py
@@ -5,11 +5,11 @@
 
 from ibisport_fleet.catalogue import Catalogue
 from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.metadata import Dialect
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.store import Item, Store
-from ibisport_fleet.storepaths import StorePaths
+from ibisport_fleet.store_paths import StorePaths
 from ibisport_fleet.targets import TargetEntry
-from ibisport_fleet.terms import Dialect
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,5 +23,5 @@
     target_prefix: str
     decode_catalogue: Callable[[Item], Catalogue]
     decode_target: Callable[[Item], TargetEntry]
-    name_incarnation: Callable[[str], str]
+    parse_incarnation: Callable[[str], str]
     load_settings: Callable[[], HostSettings]
--- a/packages/fleet/src/ibisport_fleet/allowance.py
+++ b/packages/fleet/src/ibisport_fleet/allowance.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ibisport_fleet.budgetpage import Account, Share
+from ibisport_fleet.budget_page import Account, Share
 
 # What a host may spend without asking while it is in contact covers half a second and
 # this many writes; more would be lost in a crash. Two writes may pass before what a
--- a/packages/fleet/src/ibisport_fleet/budgetpage.py
+++ b/packages/fleet/src/ibisport_fleet/budget_page.py
@@ -148,7 +148,7 @@
     )
 
 
-def load_page(content: bytes) -> BudgetPage:
+def decode_page(content: bytes) -> BudgetPage:
     """Return the page that stands in the store.
 
     Raises:
--- a/packages/fleet/src/ibisport_fleet/budgetkeeper.py
+++ b/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
@@ -26,18 +26,18 @@
     plan_share,
     runs_low,
 )
-from ibisport_fleet.budgetpage import (
+from ibisport_fleet.budget_page import (
     Account,
     BudgetPage,
     Session,
     Share,
+    decode_page,
     dump_page,
-    load_page,
 )
-from ibisport_fleet.calls import draw_pause
+from ibisport_fleet.calls import draw_jittered_delay
 from ibisport_fleet.clocks import Clocks
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fleetview import CatalogueView
+from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.formersession import (
     PROOF_SECONDS,
     Remains,
@@ -195,7 +195,7 @@
                 break
         now = self._clocks.boot()
         if now >= self._balance_at:
-            self._balance_at = now + draw_pause(PAGE_PERIOD_S / 2)
+            self._balance_at = now + draw_jittered_delay(PAGE_PERIOD_S / 2)
 
     def _has_work(self) -> bool:
         """Whether the host lends, holds more than it has spent, or needs tokens."""
@@ -443,7 +443,7 @@
         return puts
 
     def _take_page(self, item: Item | None) -> None:
-        self._page = BudgetPage() if item is None else load_page(item.content)
+        self._page = BudgetPage() if item is None else decode_page(item.content)
         self._page_revision = 0 if item is None else item.revision
         self.page_at = self._clocks.boot()
 
--- a/packages/fleet/src/ibisport_fleet/budgets.py
+++ b/packages/fleet/src/ibisport_fleet/budgets.py
@@ -9,14 +9,14 @@
 
 from ibisport_fleet.allowance import measure_room
 from ibisport_fleet.borrowing import Borrower
-from ibisport_fleet.budgetkeeper import FRESH_SECONDS, BudgetKeeper
-from ibisport_fleet.budgetpage import Share
-from ibisport_fleet.calls import draw_pause
+from ibisport_fleet.budget_page import Share
+from ibisport_fleet.budget_synchronizer import FRESH_SECONDS, BudgetKeeper
+from ibisport_fleet.calls import draw_jittered_delay
 from ibisport_fleet.catalogue import Workspace
 from ibisport_fleet.clocks import SYSTEM_CLOCKS, Clocks
 from ibisport_fleet.errors import FleetError, RecordInvalid, StoreError
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fleetview import CatalogueView
+from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.ledger import Reservation
 from ibisport_fleet.lenders import rank_lenders
 from ibisport_fleet.loans import Loan, LoanPeer, LoanRequest
@@ -45,7 +45,7 @@
 SHORT_PAUSE_S = 0.15
 
 
-class Short(Exception):
+class TokensUnavailable(Exception):
     """A budget doesn't cover a request.
 
     Attributes:
@@ -56,8 +56,8 @@
 
     def __init__(self, pause: float | None, **known: float) -> None:
         super().__init__('budget')
-        self.pause = pause
-        self.known = known
+        self.retry_after = pause
+        self.details = known
 
 
 class Budgets:
@@ -90,7 +90,7 @@
         self._closing = False
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """How many routers draw on the budgets, this one counted."""
         return self._members.count
 
@@ -132,8 +132,8 @@
         self._asked_until[workspace.name] = self._clocks.boot() + ASKED_SECONDS
         try:
             held = await self._reserve_own(workspace, request.tokens)
-        except Short as short:
-            used = int(short.known.get('used', 0))
+        except TokensUnavailable as short:
+            used = int(short.details.get('used', 0))
             return Loan(0, used, certain=not self._failing)
         held.spent = held.tokens
         self._ledger.settle(held)
@@ -161,11 +161,13 @@
             return answer
         if answer is not None and answer.certain:
             spent = answer.used + tokens > (workspace.budget or 0)
-            pause = None if spent else draw_pause(SHORT_PAUSE_S)
-            raise Short(pause, budget=workspace.budget or 0, used=answer.used)
+            pause = None if spent else draw_jittered_delay(SHORT_PAUSE_S)
+            raise TokensUnavailable(
+                pause, budget=workspace.budget or 0, used=answer.used
+            )
         return await self._reserve_own(workspace, tokens)
 
-    async def repay(self) -> None:
+    async def run_repayments(self) -> None:
         """Give borrowed tokens back that no request needs, for ever."""
         await self._borrower.repay()
 
@@ -185,7 +187,7 @@
         """Count what a request has cost and give the rest back."""
         self._ledger.settle(reservation)
 
-    async def grant_proofs(self) -> None:
+    async def run_proof_renewals(self) -> None:
         """Get a new lease for the proof of contact from time to time, for ever.
 
         It is a task of its own so that no draw waits for it.
@@ -251,7 +253,7 @@
             async with asyncio.timeout_at(until):
                 return await self._wait_for_tokens(workspace, tokens)
         except TimeoutError:
-            raise Short(
+            raise TokensUnavailable(
                 self._pause_until_isolated(), own_used=purse.used, own_cap=purse.cap
             ) from None
         finally:
@@ -293,7 +295,7 @@
         Once the proof of contact has run out the caps hold.
         """
         left = max(0.0, self._keeper.lapses_at - self._clocks.boot())
-        return left + draw_pause(SHORT_PAUSE_S)
+        return left + draw_jittered_delay(SHORT_PAUSE_S)
 
     def _is_hopeless(self, workspace: Workspace, tokens: int) -> bool:
         """Whether a draw just now can't bring the tokens either."""
@@ -303,15 +305,15 @@
         room = measure_room(account, workspace.budget or 0, self._host)
         return self._ledger.find(workspace.name).used + tokens > room
 
-    def _explain(self, workspace: Workspace, tokens: int) -> Short:
+    def _explain(self, workspace: Workspace, tokens: int) -> TokensUnavailable:
         account = self._keeper.find_account(workspace.name)
         own = account.shares.get(self._host, Share())
         purse = self._ledger.find(workspace.name)
         budget = workspace.budget or 0
         used = account.used - own.used + purse.used
         short = used + tokens > budget
-        return Short(
-            None if short else draw_pause(SHORT_PAUSE_S),
+        return TokensUnavailable(
+            None if short else draw_jittered_delay(SHORT_PAUSE_S),
             budget=budget,
             used=used,
             held=account.held,
--- a/packages/fleet/src/ibisport_fleet/callers.py
+++ b/packages/fleet/src/ibisport_fleet/callers.py
@@ -5,14 +5,14 @@
 
 from ibisport_fleet.catalogue import Limits
 from ibisport_fleet.channel import Channel
-from ibisport_fleet.connections import ConnectionTasks
+from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.errors import ConnectionBroken, RequestInvalid
 from ibisport_fleet.eventlog import EventLog
-from ibisport_fleet.fleetview import CatalogueView
+from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.handling import CallHandler
-from ibisport_fleet.replies import Replies
-from ibisport_fleet.requestreader import RequestReader, wait_for_request
-from ibisport_fleet.terms import Dialect
+from ibisport_fleet.metadata import Dialect
+from ibisport_fleet.request_reader import RequestReader, wait_for_request
+from ibisport_fleet.response_writer import ResponseWriter
 
 # Callers reuse a connection that was idle for up to four fifths of the limit.
 IDLE_MARGIN_S = 1.0
@@ -65,7 +65,11 @@
         """
         latest = asyncio.get_running_loop().time() - FIRST_REQUEST_S
         for channel, idle in tuple(self._idle.items()):
-            if not (idle.reader.begun or channel.has_unread or idle.since > latest):
+            if not (
+                idle.reader.has_partial_request
+                or channel.has_unread
+                or idle.since > latest
+            ):
                 channel.close()
 
     async def _serve(self, channel: Channel) -> None:
@@ -100,8 +104,8 @@
         await self._handler.handle(request, replies)
         return not replies.closing
 
-    def _open_replies(self, channel: Channel) -> Replies:
-        return Replies(channel, self._dialect, lambda: self.leaving)
+    def _open_replies(self, channel: Channel) -> ResponseWriter:
+        return ResponseWriter(channel, self._dialect, lambda: self.leaving)
 
     def _limits(self) -> Limits:
         current = self._catalogue.current
--- a/packages/fleet/src/ibisport_fleet/calls.py
+++ b/packages/fleet/src/ibisport_fleet/calls.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from ibisport_fleet.catalogue import Route, Workspace
-from ibisport_fleet.messages import Request
-from ibisport_fleet.terms import CallTerms
+from ibisport_fleet.http_messages import Request
+from ibisport_fleet.metadata import RequestMetadata
 
 # Ranks of routes that are told apart within one rank of workspaces.
 ROUTE_RANKS = 3
@@ -36,7 +36,7 @@
     """
 
     request: Request
-    terms: CallTerms
+    terms: RequestMetadata
     route: Route
     service: str
     version: int
@@ -88,7 +88,7 @@
     return random.choices(shares, weights)[0].service
 
 
-def draw_pause(base: float) -> float:
+def draw_jittered_delay(base: float) -> float:
     """Return a time to come back, spread so that refused callers don't return at once.
 
     Args:
--- a/packages/fleet/src/ibisport_fleet/catalogue.py
+++ b/packages/fleet/src/ibisport_fleet/catalogue.py
@@ -51,10 +51,10 @@
     time_limit: float
     objective: float
     rank: int
-    most_targets: int
+    max_targets: int
     public: bool
     resumable: bool
-    longest_pause: float = 0.0
+    max_pause_seconds: float = 0.0
 
     @property
     def repeatable(self) -> bool:
@@ -79,7 +79,7 @@
     """
 
     slots: int
-    memory: int
+    cache_tokens: int
     tokens_per_event: int
 
 
@@ -88,7 +88,7 @@
     """A group of targets that serve the same requests."""
 
     name: str
-    most_connections: int
+    max_connections: int
     engine: Engine | None
 
 
@@ -118,8 +118,8 @@
         idle_seconds: Longest pause between two requests of a connection.
     """
 
-    most_header_bytes: int = 16_384
-    most_body_bytes: int = 4_194_304
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4_194_304
     header_seconds: float = 3.0
     idle_seconds: float = 15.0
 
--- a/packages/fleet/src/ibisport_fleet/pool.py
+++ b/packages/fleet/src/ibisport_fleet/connection_pool.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from ibisport_fleet.addresses import Address
-from ibisport_fleet.exchange import Exchange, open_exchange
+from ibisport_fleet.http_connection import HttpConnection, open_http_connection
 
 # Below the idle time-outs that targets state in whole seconds, less a second for
 # the way and the rounding.
@@ -16,35 +16,35 @@
     """Idle connections by address, the newest used first."""
 
     def __init__(self) -> None:
-        self._idle: dict[Address, deque[Exchange]] = {}
+        self._idle: dict[Address, deque[HttpConnection]] = {}
 
-    def take(self, address: Address) -> Exchange | None:
+    def acquire_idle(self, address: Address) -> HttpConnection | None:
         """Return an idle connection that is still good, or None."""
         now = asyncio.get_running_loop().time()
         kept = self._idle.get(address)
         while kept:
             exchange = kept.pop()
-            if exchange.clean and exchange.idle_until > now:
+            if exchange.reusable and exchange.idle_until > now:
                 return exchange
             exchange.close()
         return None
 
-    async def open(self, address: Address, deadline: float) -> Exchange:
+    async def open(self, address: Address, deadline: float) -> HttpConnection:
         """Connect anew by a loop time.
 
         Raises:
             ConnectionFailed: Nothing stands by then; nothing was sent.
         """
-        return await open_exchange(address, deadline)
+        return await open_http_connection(address, deadline)
 
-    def keep(self, exchange: Exchange, idle_seconds: float | None) -> None:
+    def release(self, exchange: HttpConnection, idle_seconds: float | None) -> None:
         """Keep a connection for the next request, or close it if it isn't clean.
 
         Args:
             exchange: The connection, its last answer read to the end.
             idle_seconds: How long the target keeps it, if it said so.
         """
-        if not exchange.clean:
+        if not exchange.reusable:
             exchange.close()
             return
         stated = DEFAULT_IDLE_S if idle_seconds is None else idle_seconds
--- a/packages/fleet/src/ibisport_fleet/contentcoding.py
+++ b/packages/fleet/src/ibisport_fleet/content_coding.py
@@ -3,7 +3,7 @@
 import zlib
 
 from ibisport_fleet.errors import AnswerInvalid
-from ibisport_fleet.messages import Answer, Headers, Request
+from ibisport_fleet.http_messages import Answer, Headers, Request
 
 CODING = b'deflate'
 ACCEPTED: Headers = ((b'accept-encoding', CODING),)
--- a/packages/fleet/src/ibisport_fleet/targetends.py
+++ b/packages/fleet/src/ibisport_fleet/crash_detection.py
@@ -3,10 +3,10 @@
 import asyncio
 from collections.abc import Callable
 
+from ibisport_fleet.connection_pool import ConnectionPool
 from ibisport_fleet.errors import ConnectionFailed, NobodyListens
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fleetview import TargetView
-from ibisport_fleet.pool import ConnectionPool
+from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.quarantine import TargetEnd
 from ibisport_fleet.targets import TargetEntry
 
@@ -47,11 +47,11 @@
 
     def note_break(self, entry: TargetEntry, digest: str) -> None:
         """Note a request whose connection broke before its answer was whole."""
-        broken = self._broken.get(entry.start)
+        broken = self._broken.get(entry.start_id)
         if broken is not None:
             broken.add(digest)
             return
-        self._broken[entry.start] = {digest}
+        self._broken[entry.start_id] = {digest}
         task = asyncio.get_running_loop().create_task(self._check(entry))
         # The loop itself keeps no reference to a task.
         self._tasks.add(task)
@@ -61,7 +61,7 @@
         await asyncio.sleep(GATHERING_SECONDS)
         planned = not self._targets.targets.is_serving(entry)
         ended = not planned and await self._has_ended(entry)
-        digests = self._broken.pop(entry.start)
+        digests = self._broken.pop(entry.start_id)
         if not ended:
             return
         self._log.write(
@@ -79,5 +79,5 @@
         except ConnectionFailed:
             # A path that fell silent says nothing of the target.
             return False
-        self._pool.keep(exchange, None)
+        self._pool.release(exchange, None)
         return False
--- a/packages/fleet/src/ibisport_fleet/enginechoice.py
+++ b/packages/fleet/src/ibisport_fleet/engine_choice.py
@@ -8,9 +8,9 @@
 
 import xxhash
 
-from ibisport_fleet.choice import Candidate, keep_trusted, keep_unlimited
-from ibisport_fleet.promptmix import Split
-from ibisport_fleet.terms import PromptPart
+from ibisport_fleet.metadata import PromptPart
+from ibisport_fleet.prompt_mix import EngineSplit
+from ibisport_fleet.target_choice import Candidate, keep_trusted, keep_unlimited
 
 # A prompt goes to an engine of the other kind once its own ones are behind by so many
 # tokens more: 0.3 s of reading.
@@ -28,7 +28,7 @@
     candidates: Sequence[Candidate],
     parts: Sequence[PromptPart],
     now: float,
-    split: Split | None = None,
+    split: EngineSplit | None = None,
 ) -> Candidate | None:
     """Choose the model engine that probably gives its first token first.
 
@@ -79,14 +79,16 @@
 
 
 def _list_preferred(
-    candidates: Sequence[Candidate], parts: Sequence[PromptPart], split: Split | None
+    candidates: Sequence[Candidate],
+    parts: Sequence[PromptPart],
+    split: EngineSplit | None,
 ) -> frozenset[str]:
     """Return the incarnations that take a prompt of this length first."""
     listed = frozenset(one.entry.incarnation for one in candidates)
     if split is None:
         return listed
     readers = list_readers(candidates, split.share)
-    if sum(part.tokens for part in parts) >= split.long_tokens:
+    if sum(part.tokens for part in parts) >= split.min_long_tokens:
         return readers
     return listed - readers
 
@@ -113,10 +115,14 @@
     health = candidate.health
     load = health.estimate_load(now)
     crowd = max(0.0, load - CROWDED_SHARE * candidate.entry.slots)
-    waiting = health.unread + TOKENS_PER_RUNNING * load + TOKENS_PER_CROWDED * crowd
+    waiting = (
+        health.pending_prompt_tokens
+        + TOKENS_PER_RUNNING * load
+        + TOKENS_PER_CROWDED * crowd
+    )
     if candidate is home:
         return waiting
-    return waiting + health.count_uncached(shared, now)
+    return waiting + health.count_uncached_tokens(shared, now)
 
 
 def _rank_home(candidate: Candidate, shared_part: str) -> int:
--- a/packages/fleet/src/ibisport_fleet/eventlog.py
+++ b/packages/fleet/src/ibisport_fleet/eventlog.py
@@ -77,7 +77,7 @@
         """Lines left out since the last one that said how many were."""
         return self._dropped
 
-    def earn(self, seconds: float) -> None:
+    def refill(self, seconds: float) -> None:
         """Add the lines that so many seconds allow."""
         earned = seconds * LINES_PER_SECOND
         self._allowance = min(MOST_LINES_AT_ONCE, self._allowance + earned)
@@ -90,7 +90,7 @@
             details: Facts about it; never keys, prompts or answers.
         """
         now = time.monotonic()
-        self.earn(now - self._refilled)
+        self.refill(now - self._refilled)
         self._refilled = now
         if self._allowance < 1 or not self._flush_rest():
             self._dropped += 1
--- a/packages/fleet/src/ibisport_fleet/fatalrequests.py
+++ b/packages/fleet/src/ibisport_fleet/fatal_requests.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
+from ibisport_fleet.connection_pool import ConnectionPool
+from ibisport_fleet.crash_detection import EndDetector
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fleetview import TargetView
+from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.notices import Notifier
 from ibisport_fleet.peers import PeerHandler, decode_message
-from ibisport_fleet.pool import ConnectionPool
 from ibisport_fleet.quarantine import Quarantine, TargetEnd
-from ibisport_fleet.quarantinepage import QuarantineStore
+from ibisport_fleet.quarantine_store import QuarantineStore
 from ibisport_fleet.store import Store
-from ibisport_fleet.targetends import EndDetector
 from ibisport_fleet.targets import TargetEntry
 
 ENDS = b'/ends'
@@ -80,15 +80,15 @@
         """Keep the store in step, for ever."""
         await self._saved.run()
 
-    def find_pause(self, digest: str) -> float | None:
+    def find_remaining_seconds(self, digest: str) -> float | None:
         """Return for how many seconds a request isn't sent; None: it may be sent."""
         return self._quarantine.find_pause(digest)
 
-    def note_break(self, entry: TargetEntry, digest: str) -> None:
+    def record_break(self, entry: TargetEntry, digest: str) -> None:
         """Note a request whose connection broke before its answer was whole."""
         self._ends.note_break(entry, digest)
 
-    def note_answer(self, digest: str) -> None:
+    def record_answer(self, digest: str) -> None:
         """Note that a request got a whole answer: no target ended under it."""
         if self._quarantine.note_answer(digest):
             self._lift(digest, own=True)
--- a/packages/fleet/src/ibisport_fleet/fleetview.py
+++ b/packages/fleet/src/ibisport_fleet/fleet_view.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 
 from ibisport_fleet.catalogue import Catalogue
-from ibisport_fleet.choice import Candidate, TargetHealth
 from ibisport_fleet.errors import RecordInvalid
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.store import Change, Item, Listing, Removal
+from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry, TargetList
 
 
@@ -29,12 +29,12 @@
         self._decode = decode
         self._log = log
 
-    def take_listing(self, listing: Listing, doubtful_until: float) -> None:
+    def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
         """Take the catalogue out of a listing of its prefix."""
         for item in listing.items:
             self._take(item)
 
-    def take_change(self, change: Change, doubtful_until: float) -> None:
+    def apply_change(self, change: Change, doubtful_until: float) -> None:
         """Take a new version."""
         if isinstance(change, Item):
             self._take(change)
@@ -78,7 +78,7 @@
         # written again and again is logged once.
         self._unreadable: dict[str, bytes] = {}
 
-    def take_listing(self, listing: Listing, doubtful_until: float) -> None:
+    def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
         """Take all entries; those that are missing may only have lapsed."""
         entries = [entry for item in listing.items if (entry := self._read(item))]
         self.targets.replace_all(entries, doubtful_until)
@@ -87,7 +87,7 @@
         )
         self._drop_former_starts()
 
-    def take_change(self, change: Change, doubtful_until: float) -> None:
+    def apply_change(self, change: Change, doubtful_until: float) -> None:
         """Take one entry that was written or removed."""
         match change:
             case Item():
@@ -95,7 +95,7 @@
             case Removal(key=key, revision=revision):
                 self._remove(self._name_incarnation(key), revision, doubtful_until)
 
-    def health(self, start: tuple[str, int]) -> TargetHealth:
+    def find_health(self, start: tuple[str, int]) -> TargetHealth:
         """Return what is known of the load and failures of one start of a target."""
         found = self._health.get(start)
         if found is None:
@@ -107,7 +107,7 @@
         """Return the targets of a service that take new work."""
         self._drop_lapsed()
         candidates = [
-            Candidate(entry, self.health(entry.start))
+            Candidate(entry, self.find_health(entry.start_id))
             for entry in self.targets.list_serving(service)
         ]
         return [one for one in candidates if not one.health.replaced]
@@ -119,7 +119,7 @@
 
     def _drop_former_starts(self) -> None:
         """Forget the health of starts that are no longer listed."""
-        listed = {entry.start for entry in self.targets.entries}
+        listed = {entry.start_id for entry in self.targets.entries}
         for start in self._health.keys() - listed:
             self._health.pop(start)
 
--- a/packages/fleet/src/ibisport_fleet/formersession.py
+++ b/packages/fleet/src/ibisport_fleet/formersession.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ibisport_fleet.budgetpage import Session
+from ibisport_fleet.budget_page import Session
 from ibisport_fleet.errors import RecordInvalid
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.hostrecord import HostRecord, load_record
--- a/packages/fleet/src/ibisport_fleet/serving.py
+++ b/packages/fleet/src/ibisport_fleet/forwarding.py
@@ -6,18 +6,17 @@
 from dataclasses import dataclass
 
 from ibisport_fleet.budgets import Budgets
-from ibisport_fleet.calls import Call, draw_pause
+from ibisport_fleet.calls import Call, draw_jittered_delay
 from ibisport_fleet.catalogue import RouteKind
-from ibisport_fleet.choice import Candidate, TargetHealth, choose_plain
-from ibisport_fleet.enginechoice import choose_engine
+from ibisport_fleet.engine_choice import choose_engine
 from ibisport_fleet.errors import ConnectionBroken
-from ibisport_fleet.fatalrequests import FatalRequests
-from ibisport_fleet.fleetview import CatalogueView, TargetView
-from ibisport_fleet.limits import TargetLimits
-from ibisport_fleet.promptmix import PromptMix
+from ibisport_fleet.fatal_requests import FatalRequests
+from ibisport_fleet.fleet_view import CatalogueView, TargetView
+from ibisport_fleet.metadata import Dialect
+from ibisport_fleet.prompt_mix import PromptMix
 from ibisport_fleet.recording import Recorder
-from ibisport_fleet.replies import Replies
-from ibisport_fleet.retries import RetryBudget
+from ibisport_fleet.response_writer import ResponseWriter
+from ibisport_fleet.retry_budget import RetryBudget
 from ibisport_fleet.sending import (
     FIRST_FAILURE_STATUS,
     Answered,
@@ -28,7 +27,8 @@
 )
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.sse import EventCutter
-from ibisport_fleet.terms import Dialect
+from ibisport_fleet.target_choice import Candidate, TargetHealth, choose_plain_target
+from ibisport_fleet.target_limits import TargetLimits
 
 STATUS_BAD_GATEWAY = 502
 STATUS_UNAVAILABLE = 503
@@ -40,7 +40,7 @@
 AWAY_PAUSE_S = 0.5
 
 
-class GivenUp(Exception):
+class RequestFailed(Exception):
     """A request gets its final answer from this router.
 
     Attributes:
@@ -83,7 +83,7 @@
     limits: TargetLimits
 
 
-class Serving:
+class RequestForwarder:
     """The sends of one request, one after the other, until it has its answer."""
 
     def __init__(
@@ -92,7 +92,7 @@
         retries: RetryBudget,
         mix: PromptMix,
         call: Call,
-        replies: Replies,
+        replies: ResponseWriter,
     ) -> None:
         self._parts = parts
         self._call = call
@@ -115,17 +115,17 @@
         Raises:
             GivenUp: No target will.
         """
-        self._retries.note_request(_now())
+        self._retries.record_request(_now())
         while True:
             self.check_quarantine()
             candidate = self._choose()
-            candidate.health.begin(_now())
+            candidate.health.begin_request(_now())
             self._begin_reading(candidate.health)
             try:
                 if await self._try(candidate):
                     return
             finally:
-                candidate.health.end()
+                candidate.health.end_request()
                 self._end_reading()
 
     def check_quarantine(self) -> None:
@@ -134,7 +134,7 @@
         Raises:
             GivenUp: Other ones may not be harmed by it.
         """
-        pause = self._parts.fatal.find_pause(self._call.digest)
+        pause = self._parts.fatal.find_remaining_seconds(self._call.digest)
         if pause is not None:
             raise self._refuse('quarantined', pause)
 
@@ -150,24 +150,24 @@
         events = self._cutter.events
         if not events:
             return 0
-        generated = min(terms.most_output_tokens, events * self._tokens_per_event())
+        generated = min(terms.max_output_tokens, events * self._tokens_per_event())
         resumed = terms.last_event_id is not None and self._call.route.resumable
         return generated if resumed else terms.prompt_tokens + generated
 
     def _begin_reading(self, health: TargetHealth) -> None:
         """Count the prompt as unread at its target."""
         parts = self._call.terms.parts
-        self._unread = health.count_uncached(parts, _now())
+        self._unread = health.count_uncached_tokens(parts, _now())
         self._reader = health
         prompt = sum(part.tokens for part in parts)
-        self._mix.note_prompt(prompt, self._unread, _now())
-        health.unread += self._unread
-        health.note_parts(parts, _now())
+        self._mix.record_prompt(prompt, self._unread, _now())
+        health.pending_prompt_tokens += self._unread
+        health.record_parts(parts, _now())
 
     def _end_reading(self) -> None:
         """Count the prompt as read: its first event has come, or none will."""
         if self._reader is not None:
-            self._reader.unread -= self._unread
+            self._reader.pending_prompt_tokens -= self._unread
             self._reader = None
 
     def _tokens_per_event(self) -> int:
@@ -185,17 +185,19 @@
         candidates = [
             one
             for one in targets.list_candidates(call.service)
-            if one.entry.start not in call.tried
+            if one.entry.start_id not in call.tried
         ]
         now = _now()
         limits = self._parts.limits
         open_now = [one for one in candidates if limits.may_send(one, now)]
         if candidates and not open_now:
-            raise self._refuse('limited', limits.find_pause(candidates, now))
-        chosen = limits.find_due(open_now, now) or self._choose_best(open_now, now)
+            raise self._refuse('limited', limits.compute_retry_after(candidates, now))
+        chosen = limits.find_probe_target(open_now, now) or self._choose_best(
+            open_now, now
+        )
         if chosen is None:
-            raise self._refuse('no_target', draw_pause(AWAY_PAUSE_S))
-        limits.take(chosen, now)
+            raise self._refuse('no_target', draw_jittered_delay(AWAY_PAUSE_S))
+        limits.record_send(chosen, now)
         return chosen
 
     def _choose_best(
@@ -204,11 +206,11 @@
         call = self._call
         if call.route.kind is RouteKind.stream:
             return choose_engine(candidates, call.terms.parts, now, self._mix.split)
-        return choose_plain(candidates, self._parts.settings.domain, now)
+        return choose_plain_target(candidates, self._parts.settings.domain, now)
 
     async def _try(self, candidate: Candidate) -> bool:
         call = self._call
-        call.tried.add(candidate.entry.start)
+        call.tried.add(candidate.entry.start_id)
         call.sends += 1
         call.target = candidate.entry.incarnation
         call.sent_at = _now()
@@ -230,24 +232,24 @@
         call.may_have_run = call.sends > 0
         self._rejections += 1
         if self._rejections >= MOST_REJECTIONS:
-            raise self._refuse('full', draw_pause(FULL_PAUSE_S))
+            raise self._refuse('full', draw_jittered_delay(FULL_PAUSE_S))
         if isinstance(sent, NotRun) and not self._take_retry():
-            raise self._refuse('full', draw_pause(FULL_PAUSE_S))
+            raise self._refuse('full', draw_jittered_delay(FULL_PAUSE_S))
 
     def _note_break(self, candidate: Candidate, reason: str) -> None:
         call = self._call
-        self._parts.fatal.note_break(candidate.entry, call.digest)
+        self._parts.fatal.record_break(candidate.entry, call.digest)
         if not (call.route.repeatable and self._may_send_again()):
-            raise GivenUp(STATUS_BAD_GATEWAY, reason)
+            raise RequestFailed(STATUS_BAD_GATEWAY, reason)
         self._parts.recorder.note_resumed(call, reason, self._cutter.last_id)
 
     def _take_retry(self) -> bool:
-        return self._retries.take(_now(), self._parts.budgets.routers)
+        return self._retries.try_acquire(_now(), self._parts.budgets.router_count)
 
-    def _refuse(self, reason: str, pause: float) -> GivenUp:
+    def _refuse(self, reason: str, pause: float) -> RequestFailed:
         if self._call.may_have_run:
-            return GivenUp(STATUS_BAD_GATEWAY, reason)
-        return GivenUp(STATUS_UNAVAILABLE, reason, pause)
+            return RequestFailed(STATUS_BAD_GATEWAY, reason)
+        return RequestFailed(STATUS_UNAVAILABLE, reason, pause)
 
     async def _pass_on(self, answered: Answered, candidate: Candidate) -> bool:
         try:
@@ -256,26 +258,26 @@
             else:
                 return await self._pass_whole(answered)
         except ConnectionBroken as error:
-            answered.health.note_failure(_now())
+            answered.health.record_failure(_now())
             self._cutter.drop_piece()
             self._note_break(candidate, repr(error))
             return False
         finally:
             # Whatever was not read to its end must not run on.
-            if not answered.exchange.clean:
+            if not answered.exchange.reusable:
                 answered.exchange.close()
         return True
 
     async def _pass_whole(self, answered: Answered) -> bool:
-        body = await answered.exchange.read_rest()
+        body = await answered.exchange.read_body()
         self._parts.sender.finish(answered)
         call = self._call
-        self._parts.fatal.note_answer(call.digest)
+        self._parts.fatal.record_answer(call.digest)
         failed = answered.head.status >= FIRST_FAILURE_STATUS
         if failed and call.route.repeatable and self._may_send_again():
             return False
         if not failed:
-            answered.health.note_success()
+            answered.health.record_success()
         self._replies.pass_whole(answered.head, body)
         self._parts.recorder.note_served(
             self._call, answered.head.status, self._cutter.events
@@ -283,14 +285,14 @@
         return True
 
     def _note_pauses(self, longest: float) -> None:
-        accepted = self._call.route.longest_pause
+        accepted = self._call.route.max_pause_seconds
         if accepted and self._cutter.events > 1:
             tokens = sum(part.tokens for part in self._call.terms.parts)
-            self._mix.note_answer(tokens, longest, accepted, _now())
+            self._mix.record_answer(tokens, longest, accepted, _now())
 
     def _may_send_again(self) -> bool:
         call = self._call
-        if call.sends >= call.route.most_targets:
+        if call.sends >= call.route.max_targets:
             return False
         return self._take_retry()
 
@@ -301,7 +303,7 @@
         exchange = answered.exchange
         pauses = _Pauses()
         while (part := await exchange.read_part()) is not None:
-            answered.health.heard_at = _now()
+            answered.health.last_received_at = _now()
             whole = self._cutter.feed(part)
             if whole:
                 self._end_reading()
@@ -312,8 +314,8 @@
         self._replies.end_stream()
         self._note_pauses(pauses.longest)
         self._parts.sender.finish(answered)
-        self._parts.fatal.note_answer(self._call.digest)
-        answered.health.note_success()
+        self._parts.fatal.record_answer(self._call.digest)
+        answered.health.record_success()
         self._parts.recorder.note_served(
             self._call, answered.head.status, self._cutter.events
         )
--- a/packages/fleet/src/ibisport_fleet/handling.py
+++ b/packages/fleet/src/ibisport_fleet/handling.py
@@ -4,15 +4,15 @@
 import contextlib
 from collections.abc import AsyncIterator
 
-from ibisport_fleet.budgets import Short
-from ibisport_fleet.calls import Call, draw_pause
+from ibisport_fleet.budgets import TokensUnavailable
+from ibisport_fleet.calls import Call, draw_jittered_delay
 from ibisport_fleet.errors import RequestInvalid
+from ibisport_fleet.forwarding import Parts, RequestFailed, RequestForwarder
+from ibisport_fleet.http_messages import Request
 from ibisport_fleet.intake import LEAVING_PAUSE_S, Refused, admit
-from ibisport_fleet.messages import Request
-from ibisport_fleet.promptmix import PromptMix
-from ibisport_fleet.replies import Replies
-from ibisport_fleet.retries import RetryBudget
-from ibisport_fleet.serving import GivenUp, Parts, Serving
+from ibisport_fleet.prompt_mix import PromptMix
+from ibisport_fleet.response_writer import ResponseWriter
+from ibisport_fleet.retry_budget import RetryBudget
 from ibisport_fleet.settings import Bounds
 from ibisport_fleet.shutdown import Shutdown
 
@@ -40,7 +40,7 @@
         self._shutdown: Shutdown | None = None
         self._received_by_timer: dict[asyncio.Timeout, float] = {}
 
-    async def handle(self, request: Request, replies: Replies) -> None:
+    async def handle(self, request: Request, replies: ResponseWriter) -> None:
         """Answer one request; the answer is written before this returns."""
         # One that waits for tokens counts as well: a leaving router ended under it.
         self.in_flight += 1
@@ -49,10 +49,10 @@
         finally:
             self.in_flight -= 1
 
-    async def _handle(self, request: Request, replies: Replies) -> None:
+    async def _handle(self, request: Request, replies: ResponseWriter) -> None:
         parts = self._parts
         try:
-            terms = parts.dialect.read_call(request)
+            terms = parts.dialect.decode_request(request)
         except RequestInvalid as error:
             replies.refuse(error.status, 'invalid', None, None)
             return
@@ -66,14 +66,14 @@
             return
         await self._serve_in_time(call, replies)
 
-    async def _serve_in_time(self, call: Call, replies: Replies) -> None:
+    async def _serve_in_time(self, call: Call, replies: ResponseWriter) -> None:
         retries = self.find_retries(call.service)
         mix = self._mixes.setdefault(call.service, PromptMix())
-        serving = Serving(self._parts, retries, mix, call, replies)
+        serving = RequestForwarder(self._parts, retries, mix, call, replies)
         try:
             async with self._limit(call):
                 await self._pay_and_serve(call, serving)
-        except (Short, GivenUp) as refused:
+        except (TokensUnavailable, RequestFailed) as refused:
             self._conclude(call, replies, refused)
         except TimeoutError:
             self._give_up(call, replies, self._explain_timeout(call))
@@ -81,10 +81,10 @@
             self._note_ended(call, serving.events)
             raise
 
-    async def _pay_and_serve(self, call: Call, serving: Serving) -> None:
+    async def _pay_and_serve(self, call: Call, serving: RequestForwarder) -> None:
         serving.check_quarantine()
         budgets = self._parts.budgets
-        reservation = await budgets.reserve(call.workspace, call.terms.most_tokens)
+        reservation = await budgets.reserve(call.workspace, call.terms.max_tokens)
         try:
             await serving.run()
         finally:
@@ -96,35 +96,44 @@
     async def _limit(self, call: Call) -> AsyncIterator[None]:
         """Bound a request's time; a shutdown may bring its end forward."""
         async with asyncio.timeout_at(call.until) as timer:
-            self._received_by_timer[timer] = call.request.received
+            self._received_by_timer[timer] = call.request.received_at
             try:
                 yield
             finally:
                 self._received_by_timer.pop(timer)
 
-    def _explain_timeout(self, call: Call) -> GivenUp:
+    def _explain_timeout(self, call: Call) -> RequestFailed:
         status = STATUS_TIMEOUT if call.may_have_run else STATUS_UNAVAILABLE
         shutdown = self._shutdown
         now = asyncio.get_running_loop().time()
         if shutdown is None or now < shutdown.answers_until:
-            return GivenUp(status, 'timeout')
-        pause = None if call.may_have_run else draw_pause(LEAVING_PAUSE_S)
-        return GivenUp(status, 'leaving', pause)
-
-    def _conclude(self, call: Call, replies: Replies, refused: Short | GivenUp) -> None:
+            return RequestFailed(status, 'timeout')
+        pause = None if call.may_have_run else draw_jittered_delay(LEAVING_PAUSE_S)
+        return RequestFailed(status, 'leaving', pause)
+
+    def _conclude(
+        self,
+        call: Call,
+        replies: ResponseWriter,
+        refused: TokensUnavailable | RequestFailed,
+    ) -> None:
         match refused:
-            case Short():
+            case TokensUnavailable():
                 self._refuse_short(call, replies, refused)
-            case GivenUp():
+            case RequestFailed():
                 self._give_up(call, replies, refused)
 
-    def _refuse_short(self, call: Call, replies: Replies, short: Short) -> None:
-        spent = short.pause is None
+    def _refuse_short(
+        self, call: Call, replies: ResponseWriter, short: TokensUnavailable
+    ) -> None:
+        spent = short.retry_after is None
         status = STATUS_PAYMENT_REQUIRED if spent else STATUS_UNAVAILABLE
         self._parts.recorder.note_short(call, status, short)
-        replies.refuse(status, 'budget', call.terms.request_id, short.pause)
+        replies.refuse(status, 'budget', call.terms.request_id, short.retry_after)
 
-    def _give_up(self, call: Call, replies: Replies, given_up: GivenUp) -> None:
+    def _give_up(
+        self, call: Call, replies: ResponseWriter, given_up: RequestFailed
+    ) -> None:
         self._parts.recorder.note_failed(
             call, given_up.status, given_up.reason, replies.begun
         )
--- a/packages/fleet/src/ibisport_fleet/exchange.py
+++ b/packages/fleet/src/ibisport_fleet/http_connection.py
@@ -10,7 +10,7 @@
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.channel import Channel, open_channel
 from ibisport_fleet.errors import AnswerInvalid
-from ibisport_fleet.messages import Answer, AnswerHead, Headers, dump_head
+from ibisport_fleet.http_messages import Answer, AnswerHead, Headers, encode_head
 
 FIRST_FINAL_STATUS = 200
 # Answers that have no body, whatever their headers say (RFC 9112, section 6.3).
@@ -42,7 +42,7 @@
         """Note that so many bytes of the body came."""
 
 
-class Exchange:
+class HttpConnection:
     """A connection of ours to a target or to the store.
 
     Attributes:
@@ -66,7 +66,7 @@
         return self._channel
 
     @property
-    def clean(self) -> bool:
+    def reusable(self) -> bool:
         """Whether another request may be sent: nothing is left over."""
         channel = self._channel
         busy = self._pieces or self._parsing or self._spoilt or channel.has_unread
@@ -76,7 +76,7 @@
         """Send one request; its length is stated if it has a body."""
         if body or not start.startswith((b'GET ', b'DELETE ', b'HEAD ')):
             headers = (*headers, (b'content-length', b'%d' % len(body)))
-        self._channel.write(dump_head(start, headers) + body)
+        self._channel.write(encode_head(start, headers) + body)
 
     async def read_head(self, watcher: AnswerWatcher | None = None) -> AnswerHead:
         """Return the head of the next final answer.
@@ -113,7 +113,7 @@
             case AnswerHead():
                 raise AnswerInvalid('an answer begins within another')
 
-    async def read_rest(self, watcher: AnswerWatcher | None = None) -> bytes:
+    async def read_body(self, watcher: AnswerWatcher | None = None) -> bytes:
         """Return the whole body that follows a head.
 
         Args:
@@ -132,7 +132,7 @@
                 raise AnswerInvalid('the body is too long')
         return bytes(parts)
 
-    async def ask(
+    async def request(
         self,
         start: bytes,
         headers: Headers,
@@ -152,7 +152,7 @@
         head = await self.read_head(watcher)
         if watcher is not None:
             watcher.take_head(head)
-        content = await self.read_rest(watcher)
+        content = await self.read_body(watcher)
         self.answered = head.keeps_open
         return Answer(head, content)
 
@@ -224,7 +224,7 @@
             self._channel.abort()
 
 
-async def open_exchange(address: Address, deadline: float) -> Exchange:
+async def open_http_connection(address: Address, deadline: float) -> HttpConnection:
     """Connect to a target or to the store by a loop time.
 
     Raises:
@@ -232,6 +232,6 @@
         ConnectionFailed: Nothing stands by then; nothing was sent.
     """
     channel = await open_channel(address, deadline)
-    exchange = Exchange(address, channel)
+    exchange = HttpConnection(address, channel)
     exchange.idle_until = asyncio.get_running_loop().time()
     return exchange
--- a/packages/fleet/src/ibisport_fleet/messages.py
+++ b/packages/fleet/src/ibisport_fleet/http_messages.py
@@ -39,8 +39,8 @@
     headers: Headers
     body: bytes
     keeps_open: bool
-    received: float
-    connected: float
+    received_at: float
+    connected_at: float
 
     def find(self, name: bytes) -> bytes | None:
         """Return the first value of a header, given in lower case."""
@@ -95,7 +95,7 @@
     return tuple(pair for pair in headers if pair[0] not in dropped)
 
 
-def dump_head(start: bytes, headers: Headers) -> bytes:
+def encode_head(start: bytes, headers: Headers) -> bytes:
     """Return a message's head as bytes, up to and with the empty line."""
     lines = [start]
     lines += [name + b': ' + content for name, content in headers]
--- a/packages/fleet/src/ibisport_fleet/intake.py
+++ b/packages/fleet/src/ibisport_fleet/intake.py
@@ -1,10 +1,10 @@
 """Decides at once which requests are taken, and under which route."""
 
-from ibisport_fleet.calls import Call, draw_pause, draw_service
+from ibisport_fleet.calls import Call, draw_jittered_delay, draw_service
 from ibisport_fleet.catalogue import Catalogue, Route, Workspace
-from ibisport_fleet.messages import Request
+from ibisport_fleet.http_messages import Request
+from ibisport_fleet.metadata import RequestMetadata
 from ibisport_fleet.shutdown import Shutdown
-from ibisport_fleet.terms import CallTerms
 
 STATUS_UNAUTHORIZED = 401
 STATUS_NOT_FOUND = 404
@@ -36,7 +36,7 @@
 
 def admit(
     request: Request,
-    terms: CallTerms,
+    terms: RequestMetadata,
     catalogue: Catalogue | None,
     shutdown: Shutdown | None,
 ) -> Call:
@@ -53,7 +53,7 @@
             may end before the answer does.
     """
     if catalogue is None:
-        pause = draw_pause(START_PAUSE_S)
+        pause = draw_jittered_delay(START_PAUSE_S)
         raise Refused(STATUS_UNAVAILABLE, 'no_catalogue', pause)
     route = catalogue.find_route(terms.host, terms.path)
     if route is None:
@@ -61,7 +61,7 @@
     workspace = _find_workspace(catalogue, route, terms.key)
     until = _find_end(request, terms, route)
     if shutdown is not None:
-        if not shutdown.admits(request.received, until):
+        if not shutdown.admits(request.received_at, until):
             raise Refused(
                 STATUS_UNAVAILABLE, 'leaving', _draw_return(request, shutdown)
             )
@@ -79,20 +79,20 @@
 
 def _draw_return(request: Request, shutdown: Shutdown) -> float:
     """Return when a caller that this process can't serve any more should come back."""
-    if request.connected <= shutdown.accepts_until:
-        return draw_pause(LEAVING_PAUSE_S)
+    if request.connected_at <= shutdown.accepts_until:
+        return draw_jittered_delay(LEAVING_PAUSE_S)
     # The balancer has nobody else: all routers leave at once, and coming back at once
     # finds the next one that does. On days in which all five routers of a site stop
     # twice, 0.08 of all requests stay unserved, and 0.13 if they come back at once.
-    wait = max(LEAST_RETURN_S, shutdown.restarts_at - request.received)
-    return wait + draw_pause(LEAST_RETURN_S)
+    wait = max(LEAST_RETURN_S, shutdown.restarts_at - request.received_at)
+    return wait + draw_jittered_delay(LEAST_RETURN_S)
 
 
-def _find_end(request: Request, terms: CallTerms, route: Route) -> float:
+def _find_end(request: Request, terms: RequestMetadata, route: Route) -> float:
     """Return the loop time at which the final answer is due at the latest."""
     limit = route.time_limit
     asked = limit if terms.seconds_left is None else terms.seconds_left
-    return request.received + min(limit, asked)
+    return request.received_at + min(limit, asked)
 
 
 def _find_workspace(
--- a/packages/fleet/src/ibisport_fleet/terms.py
+++ b/packages/fleet/src/ibisport_fleet/metadata.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ibisport_fleet.messages import AnswerHead, Headers, Request
+from ibisport_fleet.http_messages import AnswerHead, Headers, Request
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallTerms:
+class RequestMetadata:
     """What a caller says of a request.
 
     Attributes:
@@ -40,18 +40,18 @@
     key: str | None
     seconds_left: float | None
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     parts: tuple[PromptPart, ...]
     last_event_id: int | None
 
     @property
-    def most_tokens(self) -> int:
+    def max_tokens(self) -> int:
         """Most tokens that the request may cost."""
-        return self.prompt_tokens + self.most_output_tokens
+        return self.prompt_tokens + self.max_output_tokens
 
 
 @dataclass(frozen=True, slots=True)
-class SendTerms:
+class SendMetadata:
     """What a target is told besides the caller's own words.
 
     Attributes:
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerTerms:
+class AnswerMetadata:
     """What a target's answer says.
 
     Attributes:
@@ -105,25 +105,25 @@
 class Dialect(Protocol):
     """Translates between a protocol's headers and the terms above."""
 
-    def read_call(self, request: Request) -> CallTerms:
+    def decode_request(self, request: Request) -> RequestMetadata:
         """Return what a request says of itself.
 
         Raises:
             RequestInvalid: It lacks something that it must have.
         """
 
-    def write_send(
-        self, request: Request, call: CallTerms, terms: SendTerms
+    def encode_send(
+        self, request: Request, call: RequestMetadata, terms: SendMetadata
     ) -> Headers:
         """Return the headers for a target."""
 
-    def read_answer(self, head: AnswerHead) -> AnswerTerms:
+    def decode_answer(self, head: AnswerHead) -> AnswerMetadata:
         """Return what a target's answer says."""
 
-    def write_answer(self, head: AnswerHead) -> Headers:
+    def encode_answer(self, head: AnswerHead) -> Headers:
         """Return a target's headers as the caller gets them."""
 
-    def write_refusal(
+    def encode_refusal(
         self, request_id: str | None, retry_after: float | None
     ) -> Headers:
         """Return the headers of an answer of our own."""
--- a/packages/fleet/src/ibisport_fleet/peers.py
+++ b/packages/fleet/src/ibisport_fleet/peers.py
@@ -9,7 +9,8 @@
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.catalogue import Limits
 from ibisport_fleet.channel import Channel
-from ibisport_fleet.connections import ConnectionTasks
+from ibisport_fleet.connection_pool import ConnectionPool
+from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.errors import (
     ConnectionBroken,
     ConnectionFailed,
@@ -17,15 +18,14 @@
     PeerUnavailable,
 )
 from ibisport_fleet.eventlog import EventLog
-from ibisport_fleet.messages import Headers
-from ibisport_fleet.pool import ConnectionPool
-from ibisport_fleet.requestreader import RequestReader
+from ibisport_fleet.http_messages import Headers
+from ibisport_fleet.request_reader import RequestReader
 
 HEADERS: Headers = ((b'host', b'router'), (b'content-type', b'application/json'))
 ANSWER = (
     b'HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n'
 )
-LIMITS = Limits(most_header_bytes=1_024, most_body_bytes=65_536)
+LIMITS = Limits(max_header_bytes=1_024, max_body_bytes=65_536)
 # Servers keep connections open for so long; clients give them up before.
 IDLE_SECONDS = 30.0
 POOLED_SECONDS = 20.0
@@ -59,7 +59,7 @@
         loop = asyncio.get_running_loop()
         connect_until = min(deadline, loop.time() + CONNECT_SECONDS)
         try:
-            exchange = self._pool.take(address) or await self._pool.open(
+            exchange = self._pool.acquire_idle(address) or await self._pool.open(
                 address, connect_until
             )
         except ConnectionFailed as error:
@@ -67,14 +67,14 @@
         start = b'POST %b HTTP/1.1' % path
         try:
             async with asyncio.timeout_at(deadline):
-                answer = await exchange.ask(start, HEADERS, content)
+                answer = await exchange.request(start, HEADERS, content)
         except (ConnectionBroken, TimeoutError) as error:
             exchange.close()
             raise PeerUnavailable(repr(error)) from error
         except asyncio.CancelledError:
             exchange.close()
             raise
-        self._pool.keep(exchange, POOLED_SECONDS)
+        self._pool.release(exchange, POOLED_SECONDS)
         return answer.body
 
 
--- a/packages/fleet/src/ibisport_fleet/following.py
+++ b/packages/fleet/src/ibisport_fleet/prefix_watch.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ibisport_fleet.contact import StoreContact
 from ibisport_fleet.errors import (
     ChangesTooLong,
     HistoryLost,
@@ -12,8 +11,9 @@
     StoreUnavailable,
 )
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.store import Change, Listing, Store, WatchTerms
-from ibisport_fleet.watchpace import WatchPace
+from ibisport_fleet.store import Change, Listing, Store, WatchOptions
+from ibisport_fleet.store_contact import StoreContact
+from ibisport_fleet.watch_schedule import WatchSchedule
 
 RETRY_PAUSE_S = 0.15
 # The pause doubles up to this one, so that an outage isn't filled with calls.
@@ -26,10 +26,10 @@
 class Follower(Protocol):
     """Takes what a watch brings."""
 
-    def take_listing(self, listing: Listing, doubtful_until: float) -> None:
+    def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
         """Take all keys of the prefix; missing ones may come back until then."""
 
-    def take_change(self, change: Change, doubtful_until: float) -> None:
+    def apply_change(self, change: Change, doubtful_until: float) -> None:
         """Take one change; a removed key may come back until then."""
 
 
@@ -47,7 +47,7 @@
         follower: Follower,
         log: EventLog,
         contact: StoreContact,
-        plan: Callable[[], WatchPace],
+        plan: Callable[[], WatchSchedule],
     ) -> None:
         """Begin with nothing.
 
@@ -96,18 +96,18 @@
             if listing.revision < self._newest:
                 raise StoreUnavailable(f'a listing of revision {listing.revision}')
             self._note_answer()
-            self._follower.take_listing(listing, self._contact.doubtful_until)
+            self._follower.apply_listing(listing, self._contact.doubtful_until)
             self._revision = self._newest = listing.revision
             self._listed_bytes = sum(len(item.content) for item in listing.items)
             on_first()
             return
         begun = asyncio.get_running_loop().time()
         most_bytes = self._listed_bytes + MOST_EXCESS_BYTES
-        terms = WatchTerms(pace.wait, most_bytes, pace.shared)
+        terms = WatchOptions(pace.wait, most_bytes, pace.shared)
         changes = await self._store.watch(self._prefix, self._revision, terms)
         self._note_answer()
         for change in changes.changes:
-            self._follower.take_change(change, self._contact.doubtful_until)
+            self._follower.apply_change(change, self._contact.doubtful_until)
         self._revision = max(self._revision, changes.revision)
         self._newest = self._revision
         if changes.changes:
@@ -117,7 +117,7 @@
 
     def _note_answer(self) -> None:
         self.confirmed_at = asyncio.get_running_loop().time()
-        away = self._contact.note_answer(self.confirmed_at)
+        away = self._contact.record_answer(self.confirmed_at)
         self._pause = RETRY_PAUSE_S
         if self._failing:
             self._failing = False
--- a/packages/fleet/src/ibisport_fleet/process.py
+++ b/packages/fleet/src/ibisport_fleet/process.py
@@ -9,7 +9,7 @@
 
 from ibisport_fleet.adapters import Adapters
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.relay import LEAVE_MARGIN_S, Relay, RelayAdapters
+from ibisport_fleet.relay import EXIT_MARGIN_SECONDS, Relay, RelayAdapters
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import HostSettings
 
@@ -58,7 +58,7 @@
     killed_at = loop.time() + settings.bounds.stop_grace
     log.write(Event.process_stopping, host=settings.host, in_flight=relay.in_flight)
     listener.close()
-    await relay.leave(killed_at - LEAVE_MARGIN_S)
+    await relay.drain(killed_at - EXIT_MARGIN_SECONDS)
     log.write(Event.process_stopped, host=settings.host)
 
 
--- a/packages/fleet/src/ibisport_fleet/promptmix.py
+++ b/packages/fleet/src/ibisport_fleet/prompt_mix.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Split:
+class EngineSplit:
     """How engines are divided among prompts.
 
     Attributes:
@@ -44,7 +44,7 @@
         share: Part of the engines that take long prompts first.
     """
 
-    long_tokens: float
+    min_long_tokens: float
     share: float
 
 
@@ -63,19 +63,19 @@
         self._near = 0.0
 
     @property
-    def split(self) -> Split | None:
+    def split(self) -> EngineSplit | None:
         """How engines are divided now; None: any engine takes any prompt."""
         if not (self._apart and self._unread):
             return None
         steps = round(self._unread_long / self._unread * SHARE_STEPS)
-        return Split(self.long_tokens, steps / SHARE_STEPS)
+        return EngineSplit(self.long_tokens, steps / SHARE_STEPS)
 
     @property
     def long_tokens(self) -> float:
         """Prompts of so many tokens and more are long: the mean length."""
         return self._tokens / self._prompts if self._prompts else 0.0
 
-    def note_prompt(self, tokens: int, unread: int, now: float) -> None:
+    def record_prompt(self, tokens: int, unread: int, now: float) -> None:
         """Count a prompt that is sent.
 
         Args:
@@ -90,7 +90,7 @@
         if tokens >= self.long_tokens:
             self._unread_long += unread
 
-    def note_answer(
+    def record_answer(
         self, tokens: int, longest_pause: float, accepted: float, now: float
     ) -> None:
         """Count an answer by its longest pause between events.
--- a/packages/fleet/src/ibisport_fleet/quarantinepage.py
+++ b/packages/fleet/src/ibisport_fleet/quarantine_store.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ibisport_fleet.calls import draw_pause
+from ibisport_fleet.calls import draw_jittered_delay
 from ibisport_fleet.errors import RecordInvalid, StoreError
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.quarantine import MOST_QUARANTINED, Quarantine
@@ -105,7 +105,7 @@
                 await self._write_due()
             except StoreError as error:
                 self._log.write(Event.quarantine_unsaved, reason=repr(error))
-                await asyncio.sleep(draw_pause(self._pause))
+                await asyncio.sleep(draw_jittered_delay(self._pause))
                 self._pause = min(2 * self._pause, LONGEST_RETRY_PAUSE_S)
 
     async def _wait(self) -> None:
@@ -140,7 +140,7 @@
                 )
             case Conflict():
                 self._take_conflict(written)
-                await asyncio.sleep(draw_pause(CONFLICT_PAUSE_S))
+                await asyncio.sleep(draw_jittered_delay(CONFLICT_PAUSE_S))
         self._changed.set()
 
     def _take_conflict(self, conflict: Conflict) -> None:
--- a/packages/fleet/src/ibisport_fleet/recording.py
+++ b/packages/fleet/src/ibisport_fleet/recording.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from ibisport_fleet.budgets import Short
+from ibisport_fleet.budgets import TokensUnavailable
 from ibisport_fleet.calls import Call
-from ibisport_fleet.choice import Candidate
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.metrics import Metrics
+from ibisport_fleet.target_choice import Candidate
 
 SERVED = 'served'
 LEFT = 'caller_left'
@@ -33,7 +33,7 @@
         )
         self._metrics.count_request(None, '', f'{status} {reason}')
 
-    def note_short(self, call: Call, status: int, short: Short) -> None:
+    def note_short(self, call: Call, status: int, short: TokensUnavailable) -> None:
         """Note a request that a budget doesn't cover, and what was known of it."""
         name = _name_workspace(call)
         self._log.write(
@@ -43,9 +43,9 @@
             workspace=name,
             status=status,
             reason='budget',
-            retry_after=short.pause,
-            tokens=call.terms.most_tokens,
-            **short.known,
+            retry_after=short.retry_after,
+            tokens=call.terms.max_tokens,
+            **short.details,
         )
         self._metrics.count_request(name, call.route.name, f'{status} budget')
 
@@ -70,7 +70,7 @@
 
     def note_first(self, call: Call) -> None:
         """Note that the answer has begun."""
-        passed = asyncio.get_running_loop().time() - call.request.received
+        passed = asyncio.get_running_loop().time() - call.request.received_at
         self._metrics.observe_first(_name_workspace(call), call.route.name, passed)
 
     def note_resumed(self, call: Call, reason: str, last_event: int | None) -> None:
@@ -86,7 +86,7 @@
 
     def note_served(self, call: Call, status: int, events: int) -> None:
         """Note an answer that was passed on whole."""
-        passed = asyncio.get_running_loop().time() - call.request.received
+        passed = asyncio.get_running_loop().time() - call.request.received_at
         self._log.write(
             Event.request_served,
             request=call.terms.request_id,
@@ -119,7 +119,7 @@
 
     def note_left(self, call: Call, events: int) -> None:
         """Note a caller that left before its answer had ended."""
-        passed = asyncio.get_running_loop().time() - call.request.received
+        passed = asyncio.get_running_loop().time() - call.request.received_at
         self._log.write(
             Event.request_left,
             request=call.terms.request_id,
@@ -138,7 +138,7 @@
             stopping_at: Loop time at which the process was asked to stop.
         """
         now = asyncio.get_running_loop().time()
-        received = call.request.received
+        received = call.request.received_at
         self._log.write(
             Event.request_cut,
             request=call.terms.request_id,
--- a/packages/fleet/src/ibisport_fleet/relay.py
+++ b/packages/fleet/src/ibisport_fleet/relay.py
@@ -17,34 +17,34 @@
 
 from ibisport_fleet.catalogue import Limits
 from ibisport_fleet.channel import Channel
-from ibisport_fleet.connections import ConnectionTasks
-from ibisport_fleet.contentcoding import (
+from ibisport_fleet.connection_tasks import ConnectionTasks
+from ibisport_fleet.content_coding import (
     accepts_coding,
     drop_accepted,
     encode_body,
 )
 from ibisport_fleet.errors import FleetError, StoreError
 from ibisport_fleet.eventlog import EventLog
-from ibisport_fleet.exchange import Exchange, open_exchange
-from ibisport_fleet.messages import (
+from ibisport_fleet.http_connection import HttpConnection, open_http_connection
+from ibisport_fleet.http_messages import (
     AnswerHead,
     Headers,
     Request,
     drop_connection_headers,
-    dump_head,
+    encode_head,
 )
-from ibisport_fleet.requestreader import RequestReader
+from ibisport_fleet.request_reader import RequestReader
 from ibisport_fleet.settings import HostSettings
-from ibisport_fleet.store import Changes, Store
-from ibisport_fleet.storetries import LONGEST_ANSWER_S, LONGEST_SILENCE_S
-from ibisport_fleet.watchcache import WatchCache
+from ibisport_fleet.store import Store, WatchResult
+from ibisport_fleet.store_call import LONGEST_ANSWER_S, LONGEST_SILENCE_S
+from ibisport_fleet.watch_cache import WatchCache
 
 # A call that waits for changes takes up to 1.5 s; no caller waits beyond this.
 MOST_CALL_SECONDS = 3.0
 # Routers keep their connections; one that was silent for so long is dropped.
 IDLE_SECONDS = 60.0
 # Kept back of the grace, for the end of the process itself.
-LEAVE_MARGIN_S = 0.5
+EXIT_MARGIN_SECONDS = 0.5
 # How often a leaving relay looks whether its last answers are sent: an answer takes
 # 4 ms, and nobody waits for the process to end.
 LEAVE_CHECK_S = 0.02
@@ -62,7 +62,7 @@
 PROCESSING = b'HTTP/1.1 102 Processing\r\n\r\n'
 PROGRESS_PERIOD_S = 0.25
 # The largest value of the store, encoded, and its frame.
-RELAY_LIMITS = Limits(most_body_bytes=2_097_152, idle_seconds=IDLE_SECONDS)
+RELAY_LIMITS = Limits(max_body_bytes=2_097_152, idle_seconds=IDLE_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,10 +83,10 @@
 class WatchWire(Protocol):
     """How a platform's watch calls go over a connection."""
 
-    def read(self, request: Request) -> WatchCall | None:
+    def decode_watch_call(self, request: Request) -> WatchCall | None:
         """Return what a watch call asks for; None if it is another call."""
 
-    def dump(self, changes: Changes) -> tuple[Headers, bytes]:
+    def encode_result(self, changes: WatchResult) -> tuple[Headers, bytes]:
         """Return the headers and the body of the answer to a watch call."""
 
 
@@ -117,17 +117,17 @@
         self._store_address = settings.store_address
         self._wire = adapters.watches
         store = adapters.open_store(log)
-        self._watches = WatchCache(store, settings.bounds.change_bound, log)
+        self._watches = WatchCache(store, settings.bounds.max_propagation_delay, log)
         # Routers that wait for the same changes get the same bytes.
         self._dump = lru_cache(MOST_DUMPED)(self._dump_watch)
-        self._idle: list[Exchange] = []
+        self._idle: list[HttpConnection] = []
         self._leaving = False
         # Connections on which no call is passed on, with what they read.
         self._waiting: dict[Channel, RequestReader] = {}
         self.connections = ConnectionTasks(self._serve, 'relay', log)
         self.in_flight = 0
 
-    async def leave(self, until: float) -> None:
+    async def drain(self, until: float) -> None:
         """Take no new calls, and wait for the answers of those passed on.
 
         A call that is cut off is one of unknown outcome: its router has to find out
@@ -140,7 +140,7 @@
         until = min(until, loop.time() + MOST_CALL_SECONDS)
         self._leaving = True
         for channel, reader in tuple(self._waiting.items()):
-            if not (reader.begun or channel.has_unread):
+            if not (reader.has_partial_request or channel.has_unread):
                 channel.close()
         while len(self.connections) and loop.time() < until:
             await asyncio.sleep(LEAVE_CHECK_S)
@@ -175,7 +175,7 @@
             await asyncio.sleep(LEAVE_CHECK_S)
 
     async def _answer(self, request: Request, channel: Channel) -> None:
-        asked = self._wire.read(request)
+        asked = self._wire.decode_watch_call(request)
         watch = None if asked is None else self._watches.find(asked.prefix, asked.after)
         if asked is None or watch is None:
             await self._pass_on(request, channel)
@@ -187,9 +187,11 @@
             return
         channel.write(self._dump(changes, accepts_coding(request)))
 
-    def _dump_watch(self, changes: Changes, coded: bool) -> bytes:
+    def _dump_watch(self, changes: WatchResult, coded: bool) -> bytes:
         """Return the whole answer to a watch call."""
-        return _dump_answer(HTTPStatus.OK, *self._wire.dump(changes), coded=coded)
+        return _dump_answer(
+            HTTPStatus.OK, *self._wire.encode_result(changes), coded=coded
+        )
 
     async def _pass_on(self, request: Request, channel: Channel) -> None:
         deadline = asyncio.get_running_loop().time() + MOST_CALL_SECONDS
@@ -199,11 +201,11 @@
         try:
             async with asyncio.timeout_at(deadline) as timer:
                 progress = _Progress(channel, timer)
-                answer = await exchange.ask(start, headers, request.body, progress)
+                answer = await exchange.request(start, headers, request.body, progress)
         except BaseException:
             exchange.close()
             raise
-        if exchange.answered and exchange.clean:
+        if exchange.answered and exchange.reusable:
             self._idle.append(exchange)
         else:
             exchange.close()
@@ -213,13 +215,13 @@
         whole = _dump_answer(answer.head.status, kept, answer.body, coded=coded)
         channel.write(whole)
 
-    async def _take(self, deadline: float) -> Exchange:
+    async def _take(self, deadline: float) -> HttpConnection:
         while self._idle:
             exchange = self._idle.pop()
-            if exchange.clean:
+            if exchange.reusable:
                 return exchange
             exchange.close()
-        return await open_exchange(self._store_address, deadline)
+        return await open_http_connection(self._store_address, deadline)
 
 
 class _Progress:
@@ -268,4 +270,4 @@
         headers, body = encode_body(headers, body)
     length = (b'content-length', b'%d' % len(body))
     first = b'HTTP/1.1 %d Relayed' % status
-    return dump_head(first, (*headers, length)) + body
+    return encode_head(first, (*headers, length)) + body
--- a/packages/fleet/src/ibisport_fleet/requestreader.py
+++ b/packages/fleet/src/ibisport_fleet/request_reader.py
@@ -8,7 +8,7 @@
 from ibisport_fleet.catalogue import Limits
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.errors import ConnectionBroken, RequestInvalid
-from ibisport_fleet.messages import Request
+from ibisport_fleet.http_messages import Request
 
 STATUS_BAD_REQUEST = 400
 STATUS_TOO_LARGE = 413
@@ -34,7 +34,7 @@
         self._reset_message()
 
     @property
-    def begun(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether a part of a request has come, and not its end."""
         return self._started
 
@@ -67,7 +67,7 @@
         """Take one header."""
         self._headers.append((name.lower(), content))
         self._head_size += len(name) + len(content)
-        if self._head_size > self._limits.most_header_bytes:
+        if self._head_size > self._limits.max_header_bytes:
             raise RequestInvalid(STATUS_HEADERS_TOO_LARGE, 'the head is too long')
 
     def on_headers_complete(self) -> None:
@@ -79,7 +79,7 @@
     def on_body(self, body: bytes) -> None:
         """Take a piece of the body."""
         self._body += body
-        if len(self._body) > self._limits.most_body_bytes:
+        if len(self._body) > self._limits.max_body_bytes:
             raise RequestInvalid(STATUS_TOO_LARGE, 'the body is too long')
 
     def on_message_complete(self) -> None:
@@ -92,8 +92,8 @@
                 headers=tuple(self._headers),
                 body=bytes(self._body),
                 keeps_open=self._parser.should_keep_alive(),
-                received=asyncio.get_running_loop().time(),
-                connected=self._connected,
+                received_at=asyncio.get_running_loop().time(),
+                connected_at=self._connected,
             )
         )
 
--- a/packages/fleet/src/ibisport_fleet/replies.py
+++ b/packages/fleet/src/ibisport_fleet/response_writer.py
@@ -4,14 +4,14 @@
 from http import HTTPStatus
 
 from ibisport_fleet.channel import Channel
-from ibisport_fleet.messages import AnswerHead, Headers, dump_head
-from ibisport_fleet.terms import Dialect
+from ibisport_fleet.http_messages import AnswerHead, Headers, encode_head
+from ibisport_fleet.metadata import Dialect
 
 LAST_CHUNK = b'0\r\n\r\n'
 CLOSE: Headers = ((b'connection', b'close'),)
 
 
-class Replies:
+class ResponseWriter:
     """One caller's connection, seen by the request that it waits for.
 
     Attributes:
@@ -51,18 +51,18 @@
             pause: When to come back, in seconds from now; None says nothing.
         """
         body = b'{"error":"%s"}' % reason.encode()
-        headers = self._dialect.write_refusal(request_id, pause)
+        headers = self._dialect.encode_refusal(request_id, pause)
         self._write_head(status, headers, len(body))
         self._channel.write(body)
 
     def pass_whole(self, head: AnswerHead, body: bytes) -> None:
         """Pass a target's whole answer on."""
-        self._write_head(head.status, self._dialect.write_answer(head), len(body))
+        self._write_head(head.status, self._dialect.encode_answer(head), len(body))
         self._channel.write(body)
 
     def begin_stream(self, head: AnswerHead) -> None:
         """Pass the head of a target's stream on; its body goes in chunks."""
-        self._write_head(head.status, self._dialect.write_answer(head), None)
+        self._write_head(head.status, self._dialect.encode_answer(head), None)
 
     async def pass_chunk(self, content: bytes) -> None:
         """Pass bytes of a stream on, at the pace that the caller reads at."""
@@ -86,7 +86,7 @@
             framing = (b'content-length', b'%d' % length)
         ending = CLOSE if self.closing else ()
         start = f'HTTP/1.1 {status} {_name_status(status)}'.encode()
-        self._channel.write(dump_head(start, (*headers, framing, *ending)))
+        self._channel.write(encode_head(start, (*headers, framing, *ending)))
 
 
 def _name_status(status: int) -> str:
--- a/packages/fleet/src/ibisport_fleet/retries.py
+++ b/packages/fleet/src/ibisport_fleet/retry_budget.py
@@ -33,11 +33,11 @@
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request for the service."""
         self._requests.append(now)
 
-    def take(self, now: float, routers: int) -> bool:
+    def try_acquire(self, now: float, routers: int) -> bool:
         """Take leave for one second send, if there is any.
 
         Args:
--- a/packages/fleet/src/ibisport_fleet/router.py
+++ b/packages/fleet/src/ibisport_fleet/router.py
@@ -9,28 +9,28 @@
 from ibisport_fleet.callers import CallerServer
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.clocks import read_boot_clock
-from ibisport_fleet.contact import StoreContact
+from ibisport_fleet.connection_pool import ConnectionPool
 from ibisport_fleet.errors import RecordInvalid
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fatalrequests import FatalRequests
-from ibisport_fleet.fleetview import CatalogueView, TargetView
-from ibisport_fleet.following import PrefixWatch
+from ibisport_fleet.fatal_requests import FatalRequests
+from ibisport_fleet.fleet_view import CatalogueView, TargetView
+from ibisport_fleet.forwarding import Parts
 from ibisport_fleet.handling import CallHandler
-from ibisport_fleet.limits import TargetLimits
 from ibisport_fleet.loans import LoanClient, LoanServer
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.metrics import Metrics
 from ibisport_fleet.notices import Notifier
 from ibisport_fleet.peers import PeerClient, PeerServer
-from ibisport_fleet.pool import ConnectionPool
+from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.readiness import ReadinessServer
 from ibisport_fleet.recording import Recorder
 from ibisport_fleet.sending import Sender
-from ibisport_fleet.serving import Parts
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.shutdown import Shutdown, plan_shutdown
-from ibisport_fleet.storepaths import RelayPlace, StorePaths
-from ibisport_fleet.watchpace import WatchPace, plan_watch
+from ibisport_fleet.store_contact import StoreContact
+from ibisport_fleet.store_paths import RelayEndpoint, StorePaths
+from ibisport_fleet.target_limits import TargetLimits
+from ibisport_fleet.watch_schedule import WatchSchedule, plan_router_watch
 
 # Waiting connections that the system keeps before it drops new ones.
 BACKLOG = 1_024
@@ -70,7 +70,7 @@
             adapters.catalogue_key, adapters.decode_catalogue, log
         )
         self._targets = TargetView(
-            adapters.decode_target, adapters.name_incarnation, log
+            adapters.decode_target, adapters.parse_incarnation, log
         )
         self._paths = StorePaths(
             settings.store_address, settings.domain, self._list_relays
@@ -133,12 +133,12 @@
         background = {
             'probe': self._probe_straight(),
             'members': self._members.run(),
-            'repaying': self._budgets.repay(),
+            'repaying': self._budgets.run_repayments(),
             'quarantine': self._fatal.run(),
         }
         for name, work in background.items():
             self._spawn(work, name)
-        proving = self._spawn(self._budgets.grant_proofs(), 'proofs')
+        proving = self._spawn(self._budgets.run_proof_renewals(), 'proofs')
         keeping = self._spawn(self._budgets.run(), 'budgets')
         listener = await self._listen()
         self._log.write(
@@ -149,7 +149,7 @@
         shutdown = await self._stopped
         await self._stay_open(shutdown)
         self._close(listener)
-        await self._await_callers(shutdown.accounts_at)
+        await self._await_callers(shutdown.settlement_at)
         keeping.cancel()
         proving.cancel()
         await self._end(shutdown)
@@ -221,7 +221,7 @@
         while True:
             self._alive_at = read_boot_clock()
             await asyncio.sleep(PROBE_PERIOD_S)
-            if not self._paths.straight_works and await self._store.probe():
+            if not self._paths.direct_works and await self._store.probe():
                 self._log.write(Event.store_way_regained)
 
     def _dump_metrics(self) -> bytes:
@@ -229,8 +229,8 @@
         self._metrics.set_state('targets', len(self._targets.targets))
         self._metrics.set_state('in_flight', self.in_flight)
         self._metrics.set_state('connections', len(self._callers.connections))
-        self._metrics.set_state('routers', self._budgets.routers)
-        self._metrics.set_state('straight_way', self._paths.straight_works)
+        self._metrics.set_state('routers', self._budgets.router_count)
+        self._metrics.set_state('straight_way', self._paths.direct_works)
         for name, count in self._fatal.counts.items():
             self._metrics.set_state(name, count)
         if catalogue is not None:
@@ -238,15 +238,15 @@
         now = asyncio.get_running_loop().time()
         for prefix, watch in self._watches.items():
             self._metrics.set_unconfirmed(prefix, now - watch.confirmed_at)
-        for (kind, straight), calls in self._paths.sent.items():
+        for (kind, straight), calls in self._paths.attempt_counts.items():
             way = 'straight' if straight else 'relay'
             self._metrics.set_store_calls(kind.value, way, calls)
         return self._metrics.dump()
 
-    def _list_relays(self) -> list[RelayPlace]:
+    def _list_relays(self) -> list[RelayEndpoint]:
         port = self._settings.peer_address[1]
         places = [
-            RelayPlace((entry.address[0], port), entry.domain)
+            RelayEndpoint((entry.address[0], port), entry.domain)
             for entry in self._targets.targets.entries
         ]
         return places
@@ -258,11 +258,11 @@
         self._watches[prefix] = watch
         self._spawn(watch.run(lambda: self._listed.add(prefix)), prefix)
 
-    def _plan_watch(self) -> WatchPace:
+    def _plan_watch(self) -> WatchSchedule:
         domains = {entry.domain for entry in self._targets.targets.entries}
-        bound = self._settings.bounds.change_bound
+        bound = self._settings.bounds.max_propagation_delay
         routers = self._members.count if self._members.listed else None
-        return plan_watch(routers, len(domains), bound)
+        return plan_router_watch(routers, len(domains), bound)
 
     async def _close_budgets(self, until: float) -> None:
         try:
@@ -300,7 +300,7 @@
         """
         loop = asyncio.get_running_loop()
         await _sleep_until(shutdown.listening_until)
-        while loop.time() < shutdown.accounts_at and self._handler.serves_any_from(
+        while loop.time() < shutdown.settlement_at and self._handler.serves_any_from(
             shutdown.accepts_until
         ):
             self._callers.close_idle()
--- a/packages/fleet/src/ibisport_fleet/sending.py
+++ b/packages/fleet/src/ibisport_fleet/sending.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass
 
 from ibisport_fleet.calls import Call
-from ibisport_fleet.choice import Candidate, TargetHealth
+from ibisport_fleet.connection_pool import ConnectionPool
 from ibisport_fleet.errors import ConnectionBroken, ConnectionFailed
-from ibisport_fleet.exchange import Exchange
-from ibisport_fleet.limits import TargetLimits
-from ibisport_fleet.messages import AnswerHead
-from ibisport_fleet.pool import ConnectionPool
-from ibisport_fleet.terms import AnswerTerms, Dialect, SendTerms
+from ibisport_fleet.http_connection import HttpConnection
+from ibisport_fleet.http_messages import AnswerHead
+from ibisport_fleet.metadata import AnswerMetadata, Dialect, SendMetadata
+from ibisport_fleet.target_choice import Candidate, TargetHealth
+from ibisport_fleet.target_limits import TargetLimits
 
 # Connecting takes under 10 ms between failure domains; a lost packet is sent
 # again after a second, a target that is gone never answers.
@@ -52,9 +52,9 @@
 class Answered:
     """The head of the target's answer has come; its body follows."""
 
-    exchange: Exchange
+    exchange: HttpConnection
     head: AnswerHead
-    terms: AnswerTerms
+    terms: AnswerMetadata
     health: TargetHealth
 
     @property
@@ -91,14 +91,14 @@
         try:
             exchange = await self._connect(candidate, call.until)
         except ConnectionFailed as error:
-            health.note_failure(loop.time())
+            health.record_failure(loop.time())
             return NotSent(repr(error))
         try:
             self._write(exchange, call, candidate, last_event_id)
             return await self._read(exchange, call, health)
         except ConnectionBroken as error:
             exchange.close()
-            health.note_failure(loop.time())
+            health.record_failure(loop.time())
             return Broken(repr(error))
         except asyncio.CancelledError:
             exchange.close()
@@ -107,13 +107,13 @@
     def finish(self, answered: Answered) -> None:
         """Give a connection back after the whole answer was read."""
         if answered.head.keeps_open:
-            self._pool.keep(answered.exchange, answered.terms.idle_seconds)
+            self._pool.release(answered.exchange, answered.terms.idle_seconds)
         else:
             answered.exchange.close()
 
-    async def _connect(self, candidate: Candidate, until: float) -> Exchange:
+    async def _connect(self, candidate: Candidate, until: float) -> HttpConnection:
         address = candidate.entry.address
-        kept = self._pool.take(address)
+        kept = self._pool.acquire_idle(address)
         if kept is not None:
             return kept
         now = asyncio.get_running_loop().time()
@@ -121,13 +121,13 @@
 
     def _write(
         self,
-        exchange: Exchange,
+        exchange: HttpConnection,
         call: Call,
         candidate: Candidate,
         last_event_id: int | None,
     ) -> None:
         now = asyncio.get_running_loop().time()
-        terms = SendTerms(
+        terms = SendMetadata(
             incarnation=candidate.entry.incarnation,
             workspace=None if call.workspace is None else call.workspace.name,
             seconds_left=call.left(now),
@@ -135,38 +135,40 @@
             last_event_id=last_event_id,
         )
         request = call.request
-        headers = self._dialect.write_send(request, call.terms, terms)
+        headers = self._dialect.encode_send(request, call.terms, terms)
         start = request.method.encode() + b' ' + request.target + b' HTTP/1.1'
         exchange.send(start, headers, request.body)
 
-    async def _read(self, exchange: Exchange, call: Call, health: TargetHealth) -> Sent:
+    async def _read(
+        self, exchange: HttpConnection, call: Call, health: TargetHealth
+    ) -> Sent:
         for _ in range(MOST_STRAY_ANSWERS):
             head = await exchange.read_head()
-            health.heard_at = asyncio.get_running_loop().time()
-            terms = self._dialect.read_answer(head)
+            health.last_received_at = asyncio.get_running_loop().time()
+            terms = self._dialect.decode_answer(head)
             if terms.request_id in (None, call.terms.request_id):
                 if not terms.misdirected:
-                    self._limits.note_answer(call, health, terms.rate)
+                    self._limits.apply_answer(call, health, terms.rate)
                 return await self._judge(exchange, head, terms, health)
             # The late second answer of an earlier request: not ours.
-            await exchange.read_rest()
+            await exchange.read_body()
         raise ConnectionBroken('only answers to other requests came')
 
     async def _judge(
         self,
-        exchange: Exchange,
+        exchange: HttpConnection,
         head: AnswerHead,
-        terms: AnswerTerms,
+        terms: AnswerMetadata,
         health: TargetHealth,
     ) -> Sent:
         if terms.load is not None:
-            health.note_load(terms.load, asyncio.get_running_loop().time())
+            health.record_load(terms.load, asyncio.get_running_loop().time())
         answered = Answered(exchange, head, terms, health)
         if terms.not_run:
-            await exchange.read_rest()
+            await exchange.read_body()
             self.finish(answered)
             if terms.misdirected:
-                health.note_replaced()
+                health.mark_replaced()
             return NotRun(head.status, terms.misdirected)
         if answered.succeeded and not (terms.signed and terms.request_id):
             raise ConnectionBroken('a success without a signature')
--- a/packages/fleet/src/ibisport_fleet/settings.py
+++ b/packages/fleet/src/ibisport_fleet/settings.py
@@ -23,7 +23,7 @@
     retry_slack: float
     retry_window: float
     stop_grace: float
-    change_bound: float = 2.0
+    max_propagation_delay: float = 2.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fleet/src/ibisport_fleet/shutdown.py
+++ b/packages/fleet/src/ibisport_fleet/shutdown.py
@@ -9,7 +9,7 @@
 
 # The balancer asks once a second and takes a host out after two misses; the
 # listener stays open that long and a bit more.
-NOTICE_S = 3.2
+LISTENING_SECONDS = 3.2
 # The balancer has had its two misses by then. Who comes later, on an open connection or
 # since too many routers leave at once, is taken only if the answer is due before the
 # end.
@@ -30,7 +30,7 @@
 END_MARGIN_S = 0.25
 # The grace that these figures are made for; with a shorter one all of them shrink, so
 # that answers still run until its last sixth.
-WHOLE_GRACE_S = 8.0
+REFERENCE_GRACE_SECONDS = 8.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     accepts_until: float
     listening_until: float
     restarts_at: float
-    accounts_at: float
+    settlement_at: float
     answers_until: float
     ends_at: float
 
@@ -77,15 +77,15 @@
         grace: Seconds from the signal to the kill.
     """
     killed_at = begun_at + grace
-    scale = min(1.0, grace / WHOLE_GRACE_S)
+    scale = min(1.0, grace / REFERENCE_GRACE_SECONDS)
     return Shutdown(
         begun_at=begun_at,
         listed_until=begun_at + LISTED_S * scale,
         lends_until=begun_at + LENDING_S * scale,
         accepts_until=begun_at + ACCEPT_S * scale,
-        listening_until=begun_at + NOTICE_S * scale,
+        listening_until=begun_at + LISTENING_SECONDS * scale,
         restarts_at=begun_at + RESTART_S * scale,
-        accounts_at=killed_at - ACCOUNTS_MARGIN_S * scale,
+        settlement_at=killed_at - ACCOUNTS_MARGIN_S * scale,
         answers_until=killed_at - ANSWERS_MARGIN_S * scale,
         ends_at=killed_at - END_MARGIN_S * scale,
     )
--- a/packages/fleet/src/ibisport_fleet/store.py
+++ b/packages/fleet/src/ibisport_fleet/store.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class WatchResult:
     """What a watch brought, in order; empty if its wait ran out."""
 
     changes: tuple[Change, ...]
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchTerms:
+class WatchOptions:
     """How a watch is asked for.
 
     Attributes:
@@ -53,7 +53,7 @@
     """
 
     wait: float
-    most_bytes: int = 0
+    max_bytes: int = 0
     shared: bool = False
     on_bytes: Callable[[], None] | None = None
 
@@ -119,7 +119,7 @@
             shared: A relay of the domain, which codes long answers, is asked first.
         """
 
-    async def watch(self, prefix: str, after: int, terms: WatchTerms) -> Changes:
+    async def watch(self, prefix: str, after: int, terms: WatchOptions) -> WatchResult:
         """Return what changed after a revision, or nothing once the wait is over.
 
         Raises:
--- a/packages/fleet/src/ibisport_fleet/storetries.py
+++ b/packages/fleet/src/ibisport_fleet/store_call.py
@@ -6,8 +6,8 @@
 
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.errors import ChangesTooLong
-from ibisport_fleet.messages import AnswerHead, Headers
-from ibisport_fleet.storepaths import CallKind
+from ibisport_fleet.http_messages import AnswerHead, Headers
+from ibisport_fleet.store_paths import CallKind
 
 # An answer that has begun may go on while its bytes come: a megabyte takes two seconds
 # on a narrow link, and is not there any sooner on a second way.
@@ -40,12 +40,12 @@
     """
 
     kind: CallKind
-    start: bytes
+    request_line: bytes
     headers: Headers
     body: bytes
-    seconds: float
-    waits: bool = False
-    most_bytes: int = 0
+    timeout_seconds: float
+    long_poll: bool = False
+    max_bytes: int = 0
     shared_prefix: str = ''
     on_bytes: Callable[[], None] | None = None
 
@@ -98,7 +98,7 @@
         """
         self.length = head.length
         self.note_bytes(0)
-        most = self.call.most_bytes
+        most = self.call.max_bytes
         if most and head.length > most:
             raise ChangesTooLong(f'{head.length} bytes')
 
--- a/packages/fleet/src/ibisport_fleet/contact.py
+++ b/packages/fleet/src/ibisport_fleet/store_contact.py
@@ -1,6 +1,6 @@
 """When the store answered, and what its outages mean for entries that are missing."""
 
-from ibisport_fleet.targets import RETURN_GRACE_S
+from ibisport_fleet.targets import RETURN_GRACE_SECONDS
 
 # Entries live for 3.6 s and are renewed every 1.2 s: an outage shorter than the
 # difference makes none lapse. A watch that waits may have begun 1.5 s before.
@@ -24,10 +24,10 @@
         self.doubtful_until = now
         self._last_answer = now
 
-    def note_answer(self, now: float) -> float:
+    def record_answer(self, now: float) -> float:
         """Note an answer; return the seconds since the one before."""
         away = now - self._last_answer
         self._last_answer = now
         if away >= LEAST_OUTAGE_S:
-            self.doubtful_until = now + RETURN_GRACE_S
+            self.doubtful_until = now + RETURN_GRACE_SECONDS
         return away
--- a/packages/fleet/src/ibisport_fleet/storepaths.py
+++ b/packages/fleet/src/ibisport_fleet/store_paths.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayPlace:
+class RelayEndpoint:
     """Where a relay may listen; whether one does shows when it is tried."""
 
     address: Address
@@ -61,12 +61,12 @@
         self,
         straight: Address,
         domain: str,
-        list_relays: Callable[[], Iterable[RelayPlace]],
+        list_relays: Callable[[], Iterable[RelayEndpoint]],
     ) -> None:
-        self.straight = straight
-        self.straight_works = True
+        self.direct = straight
+        self.direct_works = True
         self.on_straight_lost: Callable[[], None] | None = None
-        self.sent: Counter[tuple[CallKind, bool]] = Counter()
+        self.attempt_counts: Counter[tuple[CallKind, bool]] = Counter()
         self._domain = domain
         self._list_relays = list_relays
         self._avoided_until: dict[Address, float] = {}
@@ -74,7 +74,7 @@
         self._refusals: Counter[Address] = Counter()
         self._working: Address | None = None
 
-    def list_shared_ways(self, prefix: str, now: float) -> list[Address]:
+    def list_shared_paths(self, prefix: str, now: float) -> list[Address]:
         """Return the addresses to try for a watch that routers share, best first.
 
         All routers of a domain rank its relays alike, so they ask the same one. Where
@@ -99,21 +99,21 @@
     def list_ways(self, now: float) -> list[Address]:
         """Return the addresses to try for one call, best first."""
         relays = self._rank_relays(now)
-        if self.straight_works:
-            return [self.straight, *relays][:MOST_WAYS]
+        if self.direct_works:
+            return [self.direct, *relays][:MOST_WAYS]
         # A last try straight, in case the relays are what is broken.
-        return [*relays[: MOST_WAYS - 1], self.straight]
+        return [*relays[: MOST_WAYS - 1], self.direct]
 
     def note_sent(self, kind: CallKind, address: Address) -> None:
         """Count a try of a call on a way."""
-        self.sent[kind, address == self.straight] += 1
+        self.attempt_counts[kind, address == self.direct] += 1
 
-    def note_answer(self, address: Address) -> None:
+    def record_answer(self, address: Address) -> None:
         """Note that a call was answered on a way."""
         self._avoided_until.pop(address, None)
         self._refusals.pop(address, None)
-        if address == self.straight:
-            self.straight_works = True
+        if address == self.direct:
+            self.direct_works = True
         else:
             self._working = address
 
@@ -132,8 +132,8 @@
         self._avoided_until[address] = now + AVOID_SECONDS
         if address == self._working:
             self._working = None
-        if address == self.straight and self.straight_works:
-            self.straight_works = False
+        if address == self.direct and self.direct_works:
+            self.direct_works = False
             if self.on_straight_lost is not None:
                 self.on_straight_lost()
 
--- a/packages/fleet/src/ibisport_fleet/storecalls.py
+++ b/packages/fleet/src/ibisport_fleet/store_transport.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 from ibisport_fleet.addresses import Address
-from ibisport_fleet.contentcoding import ACCEPTED, decode_body
+from ibisport_fleet.content_coding import ACCEPTED, decode_body
 from ibisport_fleet.errors import (
     ChangesTooLong,
     ConnectionBroken,
@@ -15,15 +15,19 @@
     StoreUnknown,
 )
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.exchange import MOST_WHOLE_BODY, Exchange, open_exchange
-from ibisport_fleet.messages import Answer
-from ibisport_fleet.storepaths import StorePaths
-from ibisport_fleet.storetries import (
+from ibisport_fleet.http_connection import (
+    MOST_WHOLE_BODY,
+    HttpConnection,
+    open_http_connection,
+)
+from ibisport_fleet.http_messages import Answer
+from ibisport_fleet.store_call import (
     LEAST_MEASURED_S,
     LONGEST_SILENCE_S,
     CallTry,
     StoreCall,
 )
+from ibisport_fleet.store_paths import StorePaths
 
 # Connecting takes a few milliseconds; a path that drops packets never answers.
 CONNECT_SECONDS = 0.15
@@ -44,18 +48,18 @@
 SLOW_ANSWER_S = 0.5
 
 
-class StoreCaller:
+class StoreTransport:
     """Sends calls and remembers which ways work."""
 
     def __init__(self, paths: StorePaths, log: EventLog) -> None:
         self._paths = paths
         self._log = log
-        self._idle: dict[Address, list[Exchange]] = {}
-        self._waiting: dict[Exchange, CallTry] = {}
+        self._idle: dict[Address, list[HttpConnection]] = {}
+        self._waiting: dict[HttpConnection, CallTry] = {}
         self._latency = 0.0
         paths.on_straight_lost = self._drop_straight
 
-    async def ask(self, call: StoreCall) -> Answer:
+    async def send(self, call: StoreCall) -> Answer:
         """Return the first answer that comes on any way.
 
         Raises:
@@ -67,7 +71,7 @@
             ways = await self._find_shared_ways(call.shared_prefix)
         else:
             ways = self._paths.list_ways(loop.time())
-        deadline = loop.time() + call.seconds
+        deadline = loop.time() + call.timeout_seconds
         race = _Race(self, call, ways, deadline)
         try:
             answer = await race.run()
@@ -92,12 +96,12 @@
         millisecond to find out, and a watch of the store if that is asked instead.
         """
         loop = asyncio.get_running_loop()
-        ways = self._paths.list_shared_ways(prefix, loop.time())
+        ways = self._paths.list_shared_paths(prefix, loop.time())
         for _ in range(MOST_VACANT):
-            if ways[0] == self._paths.straight or not await self._is_vacant(ways[0]):
+            if ways[0] == self._paths.direct or not await self._is_vacant(ways[0]):
                 break
             self._paths.note_vacant(ways[0], loop.time())
-            ways = self._paths.list_shared_ways(prefix, loop.time())
+            ways = self._paths.list_shared_paths(prefix, loop.time())
         return ways
 
     async def _is_vacant(self, address: Address) -> bool:
@@ -114,9 +118,9 @@
 
     async def probe(self, call: StoreCall) -> bool:
         """Whether a call is answered on the straight way."""
-        until = asyncio.get_running_loop().time() + call.seconds
+        until = asyncio.get_running_loop().time() + call.timeout_seconds
         try:
-            await self.ask_way(CallTry(self._paths.straight, call, until), until)
+            await self.send_on_path(CallTry(self._paths.direct, call, until), until)
         except StoreError:
             return False
         return True
@@ -129,7 +133,7 @@
         """Note that another way answered first."""
         self._note_failure(address)
 
-    async def ask_way(self, attempt: CallTry, until: float) -> Answer:
+    async def send_on_path(self, attempt: CallTry, until: float) -> Answer:
         """Send a call on one way.
 
         Args:
@@ -152,11 +156,13 @@
         self._paths.note_sent(call.kind, address)
         self._waiting[exchange] = attempt
         headers = call.headers
-        if address != self._paths.straight:
+        if address != self._paths.direct:
             headers = (*headers, *ACCEPTED)
         try:
             async with attempt.timer:
-                answer = await exchange.ask(call.start, headers, call.body, attempt)
+                answer = await exchange.request(
+                    call.request_line, headers, call.body, attempt
+                )
             body = decode_body(answer, MOST_WHOLE_BODY)
         except ChangesTooLong as error:
             self._log_cut(attempt, error)
@@ -165,18 +171,18 @@
             self._waiting.pop(exchange)
             self._note_failure(address)
             self._log_cut(attempt, error)
-            raise StoreUnknown(f'{call.start!r}: {error!r}') from error
+            raise StoreUnknown(f'{call.request_line!r}: {error!r}') from error
         finally:
             self._waiting.pop(exchange, None)
             self._keep(exchange)
         if answer.head.status in REFUSALS:
             self._paths.note_failure(address, loop.time())
             raise StoreUnavailable(f'the store answered {answer.head.status}')
-        if not call.waits:
+        if not call.long_poll:
             # How long the answer is says nothing of the way.
             first = (attempt.first_at or loop.time()) - begun
             self._latency += LATENCY_WEIGHT * (first - self._latency)
-        self._paths.note_answer(address)
+        self._paths.record_answer(address)
         self._log_slow(attempt)
         return Answer(answer.head, body)
 
@@ -192,7 +198,7 @@
             self._log.write(Event.answer_slow, **self._describe(attempt))
 
     def _describe(self, attempt: CallTry) -> dict[str, object]:
-        straight = attempt.address == self._paths.straight
+        straight = attempt.address == self._paths.direct
         return {
             'kind': attempt.call.kind.value,
             'way': 'straight' if straight else attempt.address[0],
@@ -221,24 +227,24 @@
     def _drop_straight(self) -> None:
         """End the calls that wait on the straight way, so that they take another."""
         for exchange in tuple(self._waiting):
-            if exchange.address == self._paths.straight:
+            if exchange.address == self._paths.direct:
                 exchange.close()
 
-    async def _take(self, address: Address, until: float) -> Exchange:
+    async def _take(self, address: Address, until: float) -> HttpConnection:
         idle = self._idle.setdefault(address, [])
         while idle:
             exchange = idle.pop()
-            if exchange.clean:
+            if exchange.reusable:
                 return exchange
             exchange.close()
         busy = self._receives(address)
         seconds = LONGEST_SILENCE_S if busy else CONNECT_SECONDS
         now = asyncio.get_running_loop().time()
-        return await open_exchange(address, min(until, now + seconds))
+        return await open_http_connection(address, min(until, now + seconds))
 
-    def _keep(self, exchange: Exchange) -> None:
+    def _keep(self, exchange: HttpConnection) -> None:
         idle = self._idle.setdefault(exchange.address, [])
-        if exchange.answered and exchange.clean and len(idle) < MOST_IDLE:
+        if exchange.answered and exchange.reusable and len(idle) < MOST_IDLE:
             idle.append(exchange)
         else:
             exchange.close()
@@ -253,7 +259,7 @@
 
     def __init__(
         self,
-        caller: StoreCaller,
+        caller: StoreTransport,
         call: StoreCall,
         ways: Sequence[Address],
         deadline: float,
@@ -285,13 +291,13 @@
         if self._call.shared_prefix:
             # A relay may have taken its time. The next way has as much, or a sound way
             # would look broken.
-            until = loop.time() + self._call.seconds
+            until = loop.time() + self._call.timeout_seconds
         if self._ways and stuck and loop.time() < until:
             self._begin(self._ways.pop(0), until)
         if not self._tries:
             raise self._failure
         # Each try ends by itself when its answer falls silent.
-        pause = LEAST_MEASURED_S if self._call.waits else patience
+        pause = LEAST_MEASURED_S if self._call.long_poll else patience
         wait = pause if self._ways else None
         done, _ = await asyncio.wait(
             self._tries, timeout=wait, return_when=asyncio.FIRST_COMPLETED
@@ -310,11 +316,11 @@
         """
         if attempt.is_slow():
             return True
-        return not self._call.waits and attempt.is_silent(patience)
+        return not self._call.long_poll and attempt.is_silent(patience)
 
     def _begin(self, address: Address, until: float) -> None:
         attempt = CallTry(address, self._call, until)
-        work = self._caller.ask_way(attempt, until)
+        work = self._caller.send_on_path(attempt, until)
         self._tries[asyncio.get_running_loop().create_task(work)] = attempt
 
     def _finish(self, task: asyncio.Task[Answer]) -> Answer | None:
--- a/packages/fleet/src/ibisport_fleet/choice.py
+++ b/packages/fleet/src/ibisport_fleet/target_choice.py
@@ -4,9 +4,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ibisport_fleet.ratelimit import RateLimit
+from ibisport_fleet.metadata import PromptPart, TargetLoad
+from ibisport_fleet.rate_limit import RateLimit
 from ibisport_fleet.targets import TargetEntry
-from ibisport_fleet.terms import PromptPart, TargetLoad
 
 # A target that owes bytes and sends none on any connection for so long has fallen
 # silent: kept connections to it would swallow requests for seconds. Engines send an
@@ -45,18 +45,18 @@
     """
 
     running: int = 0
-    reported: TargetLoad | None = None
+    reported_load: TargetLoad | None = None
     reported_at: float = 0.0
     running_at_report: int = 0
     failures: int = 0
-    avoided_until: float = 0.0
+    backoff_until: float = 0.0
     replaced: bool = False
-    unread: int = 0
-    heard_at: float = 0.0
+    pending_prompt_tokens: int = 0
+    last_received_at: float = 0.0
     limit: RateLimit | None = None
     _cached: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
-    def count_uncached(self, parts: Sequence[PromptPart], now: float) -> int:
+    def count_uncached_tokens(self, parts: Sequence[PromptPart], now: float) -> int:
         """Return the tokens of a prompt that it probably hasn't cached."""
         return sum(
             part.tokens for part in parts if not self.has_cached(part.part_id, now)
@@ -67,7 +67,7 @@
         sent = self._cached.get(part_id)
         return sent is not None and now - sent < CACHED_SECONDS
 
-    def note_parts(self, parts: Sequence[PromptPart], now: float) -> None:
+    def record_parts(self, parts: Sequence[PromptPart], now: float) -> None:
         """Note that it reads a prompt's shared parts."""
         for part in parts[:-1]:
             self._cached[part.part_id] = now
@@ -75,50 +75,50 @@
         while len(self._cached) > MOST_CACHED_PARTS:
             self._cached.popitem(last=False)
 
-    def note_load(self, load: TargetLoad, now: float) -> None:
+    def record_load(self, load: TargetLoad, now: float) -> None:
         """Keep what the target told of its load."""
-        self.reported = load
+        self.reported_load = load
         self.reported_at = now
         self.running_at_report = self.running
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Trust the target again."""
         self.failures = 0
-        self.avoided_until = 0.0
+        self.backoff_until = 0.0
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Avoid the target for a while, longer with each failure in a row."""
         pause = FIRST_AVOIDANCE_S * 2**self.failures
         self.failures = min(self.failures + 1, 8)
-        self.avoided_until = now + min(pause, LONGEST_AVOIDANCE_S)
+        self.backoff_until = now + min(pause, LONGEST_AVOIDANCE_S)
 
-    def begin(self, now: float) -> None:
+    def begin_request(self, now: float) -> None:
         """Count a request that is sent there."""
         if not self.running:
-            self.heard_at = now
+            self.last_received_at = now
         self.running += 1
 
-    def end(self) -> None:
+    def end_request(self) -> None:
         """Count a request that has ended there."""
         self.running -= 1
 
     def is_silent(self, now: float) -> bool:
         """Whether it owes answers and has sent nothing for a while."""
-        return self.running > 0 and now - self.heard_at > SILENT_SECONDS
+        return self.running > 0 and now - self.last_received_at > SILENT_SECONDS
 
     def is_trusted(self, now: float) -> bool:
         """Whether it neither failed lately nor fell silent."""
-        return self.avoided_until <= now and not self.is_silent(now)
+        return self.backoff_until <= now and not self.is_silent(now)
 
-    def note_replaced(self) -> None:
+    def mark_replaced(self) -> None:
         """Give the incarnation up: another one has its address."""
         self.replaced = True
 
     def estimate_load(self, now: float) -> int:
         """Return how many requests probably run or wait there."""
-        if self.reported is None or now - self.reported_at > REPORT_SECONDS:
+        if self.reported_load is None or now - self.reported_at > REPORT_SECONDS:
             return self.running
-        told = self.reported.running + self.reported.waiting
+        told = self.reported_load.running + self.reported_load.waiting
         return max(self.running, told + self.running - self.running_at_report)
 
 
@@ -130,7 +130,7 @@
     health: TargetHealth
 
 
-def choose_plain(
+def choose_plain_target(
     candidates: Sequence[Candidate], domain: str, now: float
 ) -> Candidate | None:
     """Choose a plain service's target: near ones first while they have room.
--- a/packages/fleet/src/ibisport_fleet/limits.py
+++ b/packages/fleet/src/ibisport_fleet/target_limits.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from ibisport_fleet.calls import Call, draw_pause
-from ibisport_fleet.choice import Candidate, TargetHealth
+from ibisport_fleet.calls import Call, draw_jittered_delay
 from ibisport_fleet.errors import PeerUnavailable
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.fleetview import TargetView
+from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.notices import Notifier
 from ibisport_fleet.peers import PeerHandler, decode_message
-from ibisport_fleet.ratelimit import RateLimit, plan_gap
+from ibisport_fleet.rate_limit import RateLimit, plan_gap
+from ibisport_fleet.target_choice import Candidate, TargetHealth
 
 LIMITS = b'/limits'
 RECEIVED = b'{}'
@@ -84,7 +84,9 @@
             return True
         return isfinite(self._plan_gap(candidate, limit)) and now >= limit.next_at
 
-    def find_due(self, candidates: Sequence[Candidate], now: float) -> Candidate | None:
+    def find_probe_target(
+        self, candidates: Sequence[Candidate], now: float
+    ) -> Candidate | None:
         """Return a limited target that has to be asked whether it still is.
 
         Args:
@@ -99,13 +101,13 @@
                 return one
         return None
 
-    def take(self, candidate: Candidate, now: float) -> None:
+    def record_send(self, candidate: Candidate, now: float) -> None:
         """Count a request that is sent to a target."""
         limit = candidate.health.limit
         if limit is not None:
             limit.next_at = now + self._plan_gap(candidate, limit)
 
-    def find_pause(self, candidates: Sequence[Candidate], now: float) -> float:
+    def compute_retry_after(self, candidates: Sequence[Candidate], now: float) -> float:
         """Return when a caller should come back whom no target takes now, seconds.
 
         Another router may have a part of a limit of which this one has none.
@@ -119,9 +121,11 @@
         rate = sum(limit.rate for limit, _ in limits)
         shared = 1 / rate if rate else LONGEST_PAUSE_S
         pause = min(waits, default=shared)
-        return draw_pause(min(max(LEAST_PAUSE_S, pause), LONGEST_PAUSE_S))
+        return draw_jittered_delay(min(max(LEAST_PAUSE_S, pause), LONGEST_PAUSE_S))
 
-    def note_answer(self, call: Call, health: TargetHealth, rate: float | None) -> None:
+    def apply_answer(
+        self, call: Call, health: TargetHealth, rate: float | None
+    ) -> None:
         """Take what an answer says.
 
         Args:
@@ -147,7 +151,7 @@
             raise PeerUnavailable(f'unreadable rate {notice.rate}')
         entry = self._targets.targets.find(notice.target)
         if entry is not None:
-            health = self._targets.health(entry.start)
+            health = self._targets.find_health(entry.start_id)
             self._change(notice.target, health, notice.rate, own=False)
         return RECEIVED
 
@@ -184,4 +188,4 @@
 
 
 def _draw_end(now: float) -> float:
-    return now + draw_pause(FORGET_SECONDS)
+    return now + draw_jittered_delay(FORGET_SECONDS)
--- a/packages/fleet/src/ibisport_fleet/targets.py
+++ b/packages/fleet/src/ibisport_fleet/targets.py
@@ -7,7 +7,7 @@
 
 # Entries that lapsed while the service was away are back within two seconds of
 # its return; the platform's pages give the figure. A bit more is for the way.
-RETURN_GRACE_S = 2.3
+RETURN_GRACE_SECONDS = 2.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,12 @@
     slots: int
     draining: bool
     revision: int
-    born: int = 0
+    started_at_ms: int = 0
 
     @property
-    def start(self) -> tuple[str, int]:
+    def start_id(self) -> tuple[str, int]:
         """One start of a target: what is known of another start doesn't hold."""
-        return self.incarnation, self.born
+        return self.incarnation, self.started_at_ms
 
 
 class TargetList:
@@ -78,7 +78,11 @@
     def is_serving(self, entry: TargetEntry) -> bool:
         """Whether a start of a target is listed and takes new work."""
         known = self._entries.get(entry.incarnation)
-        return known is not None and known.start == entry.start and not known.draining
+        return (
+            known is not None
+            and known.start_id == entry.start_id
+            and not known.draining
+        )
 
     def put(self, entry: TargetEntry) -> None:
         """Take an entry that is in the store.
@@ -86,12 +90,12 @@
         What a former start wrote may be done after the words of the present one.
         """
         known = self._entries.get(entry.incarnation)
-        if known is not None and entry.born < known.born:
+        if known is not None and entry.started_at_ms < known.started_at_ms:
             return
         self._lapsed.pop(entry.incarnation, None)
         if entry.draining:
             self._note_left(entry)
-        elif entry.born <= self._left.get(entry.incarnation, -1):
+        elif entry.started_at_ms <= self._left.get(entry.incarnation, -1):
             entry = replace(entry, draining=True)
         self._entries[entry.incarnation] = entry
 
@@ -130,7 +134,7 @@
 
     def _note_left(self, entry: TargetEntry) -> None:
         newest = self._left.get(entry.incarnation, -1)
-        self._left[entry.incarnation] = max(newest, entry.born)
+        self._left[entry.incarnation] = max(newest, entry.started_at_ms)
 
     def drop_lapsed(self, now: float) -> list[str]:
         """Forget lapsed entries whose time has run out, and return them."""
