--- a/packages/fleet/src/ibisport_fleet/watchcache.py
+++ b/packages/fleet/src/ibisport_fleet/watch_cache.py
@@ -10,8 +10,8 @@
 
 from ibisport_fleet.errors import StoreError, StoreUnavailable
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.store import Change, Changes, Item, Store, WatchTerms
-from ibisport_fleet.watchpace import WatchPace, plan_upstream
+from ibisport_fleet.store import Change, Item, Store, WatchOptions, WatchResult
+from ibisport_fleet.watch_schedule import WatchSchedule, plan_upstream
 
 # What is kept for routers that lag; who lags further is passed on to the store.
 MOST_KEPT_BYTES = 4_194_304
@@ -24,7 +24,7 @@
     """One prefix: its changes since a revision, and who waits for the next ones."""
 
     def __init__(
-        self, store: Store, prefix: str, after: int, pace: WatchPace, log: EventLog
+        self, store: Store, prefix: str, after: int, pace: WatchSchedule, log: EventLog
     ) -> None:
         """Begin to watch.
 
@@ -67,7 +67,7 @@
         """Whether all changes after a revision are kept."""
         return after >= self._kept_after
 
-    async def ask(self, after: int, wait: float) -> Changes:
+    async def ask(self, after: int, wait: float) -> WatchResult:
         """Return the changes after a revision, as the store's own watch does.
 
         An answer without changes is given only if the store has answered meanwhile:
@@ -83,18 +83,18 @@
         finally:
             self._waiting -= 1
 
-    async def _find_next(self, after: int, asked_at: float, wait: float) -> Changes:
+    async def _find_next(self, after: int, asked_at: float, wait: float) -> WatchResult:
         loop = asyncio.get_running_loop()
         until = asked_at + wait
         while True:
             changes = tuple(one for one in self._kept if one.revision > after)
             if changes:
-                return Changes(changes, max(after, self._head))
+                return WatchResult(changes, max(after, self._head))
             if self._failure is not None:
                 raise StoreUnavailable(repr(self._failure))
             due = loop.time() >= until
             if due and self._heard_at >= asked_at:
-                return Changes((), max(after, self._head))
+                return WatchResult((), max(after, self._head))
             # The next answer of the store, or its failure, is bounded in time.
             await self._wait_for_news(None if due else until)
 
@@ -133,7 +133,7 @@
         begun = loop.time()
         async with asyncio.timeout_at(begun + self._pace.silent_after) as timer:
             self._answer_until = 0.0
-            terms = WatchTerms(
+            terms = WatchOptions(
                 self._pace.wait, on_bytes=lambda: self._note_bytes(timer)
             )
             found = await self._store.watch(self._prefix, self._head, terms)
--- a/packages/fleet/src/ibisport_fleet/watchpace.py
+++ b/packages/fleet/src/ibisport_fleet/watch_schedule.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchPace:
+class WatchSchedule:
     """How a prefix is watched.
 
     Attributes:
@@ -51,16 +51,18 @@
         return WAITS_AN_ANSWER * self.wait
 
 
-def plan_upstream(change_bound: float) -> WatchPace:
+def plan_upstream(change_bound: float) -> WatchSchedule:
     """Return how a relay watches for the routers that ask it.
 
     Args:
         change_bound: Longest time after which a change must be in force, seconds.
     """
-    return WatchPace(change_bound / WAITS_A_BOUND, RELAY_GAP_PART * change_bound)
+    return WatchSchedule(change_bound / WAITS_A_BOUND, RELAY_GAP_PART * change_bound)
 
 
-def plan_watch(routers: int | None, domains: int, change_bound: float) -> WatchPace:
+def plan_router_watch(
+    routers: int | None, domains: int, change_bound: float
+) -> WatchSchedule:
     """Return how a router watches.
 
     While it isn't known how many routers there are, many may be starting at once, and
@@ -73,6 +75,6 @@
     """
     gap = ROUTER_GAP_PART * change_bound
     if routers is not None and routers < LEAST_SHARERS * max(domains, 1):
-        return WatchPace(STRAIGHT_WAIT_S, gap)
+        return WatchSchedule(STRAIGHT_WAIT_S, gap)
     # No relay may be known yet, so the gap holds here too.
-    return WatchPace(change_bound / WAITS_A_BOUND, gap, shared=True)
+    return WatchSchedule(change_bound / WAITS_A_BOUND, gap, shared=True)
