--- a/features/steps/applying_steps.py
+++ b/features/steps/applying_steps.py
@@ -6,7 +6,7 @@
 import random
 
 from behave import given, then, when
-from domains import LONGEST_S, Domain, Heard
+from domains import TEST_TIMEOUT_SECONDS, FailureDomain, RecordingSubscriber
 from followers import open_null_log
 
 from ibisport_bench.memorytransport import Link
@@ -19,12 +19,12 @@
 from ibisport_fleet.watch_schedule import plan_router_watch
 from ibisport_platform.records import CATALOGUE_KEY, CATALOGUE_PREFIX
 
-BOUND_S = 3.0
-ROUTERS = 12
-RELAYS = 2
+MAX_PROPAGATION_SECONDS = 3.0
+ROUTER_COUNT = 12
+RELAY_COUNT = 2
 LETTERS = 'abcdefghijklmnopqrstuvwxyz0123456789'
 # Revisions of a replica's listings, one after another.
-LAGGING = (9, 4, 4, 12)
+LISTED_REVISIONS = (9, 4, 4, 12)
 KINDS = ('idempotent', 'non_idempotent', 'streaming')
 
 
@@ -52,27 +52,31 @@
     return json.dumps({'version': version, 'routes': listed}).encode()
 
 
-def _play(context, act):
+def _run_domain(context, act):
     async def play(net):
-        domain = Domain(net, ROUTERS, RELAYS, CATALOGUE_PREFIX, BOUND_S)
+        domain = FailureDomain(
+            net, ROUTER_COUNT, RELAY_COUNT, CATALOGUE_PREFIX, MAX_PROPAGATION_SECONDS
+        )
         context.domain = domain
         domain.service.put(CATALOGUE_KEY, make_catalogue(1, context.routes))
         await domain.open()
         for ends, rate in context.rates.items():
             source, destination = ends
-            asked = domain.find_asked()
-            net.links[_name(source, asked), _name(destination, asked)] = Link(rate=rate)
+            asked = domain.find_preferred_relay()
+            net.links[
+                _resolve_host(source, asked), _resolve_host(destination, asked)
+            ] = Link(rate=rate)
         if context.cut:
             domain.silence(context.cut, ['store'])
         context.settled_at = net.time()
-        async with asyncio.timeout(LONGEST_S):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await act(domain)
-            await asyncio.sleep(2 * BOUND_S)
+            await asyncio.sleep(2 * MAX_PROPAGATION_SECONDS)
 
     run_on_net(play)
 
 
-def _name(host, asked):
+def _resolve_host(host, asked):
     return asked if host == 'relay' else host
 
 
@@ -93,13 +97,15 @@
 
 @given('all relays take {rate:d} bytes a second from the store')
 def slow_relays(context, rate):
-    context.rates.update({('store', f'relay-{one}'): rate for one in range(RELAYS)})
+    context.rates.update(
+        {('store', f'relay-{one}'): rate for one in range(RELAY_COUNT)}
+    )
 
 
 @given('all routers get {rate:d} bytes a second from the store and the relays')
 def slow_routers(context, rate):
-    sources = ['store', *(f'relay-{one}' for one in range(RELAYS))]
-    routers = [f'router-{one}' for one in range(ROUTERS)]
+    sources = ['store', *(f'relay-{one}' for one in range(RELAY_COUNT))]
+    routers = [f'router-{one}' for one in range(ROUTER_COUNT)]
     context.rates.update(dict.fromkeys(itertools.product(sources, routers), rate))
 
 
@@ -121,17 +127,17 @@
         domain.service.put(CATALOGUE_KEY, content)
         context.changed_at = domain.now
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @when('it grows to {routes:d} routes as the relay that they ask loses the store')
 def grow_behind_cut(context, routes):
     async def act(domain):
-        domain.silence(domain.find_asked(), ['store'])
+        domain.silence(domain.find_preferred_relay(), ['store'])
         domain.service.put(CATALOGUE_KEY, make_catalogue(2, routes))
         context.changed_at = domain.now
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @when('the new router starts')
@@ -140,16 +146,16 @@
         context.changed_at = domain.now
         domain.start_router('router-new')
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @then('each router has the newest catalogue within {bound:d} seconds')
 def check_in_time(context, bound):
     newest = context.domain.service.items[CATALOGUE_KEY].revision
     late = {
-        host: heard.find_time(newest) - context.changed_at
+        host: heard.find_seen_at(newest) - context.changed_at
         for host, heard in context.domain.routers.items()
-        if heard.find_time(newest) - context.changed_at > bound
+        if heard.find_seen_at(newest) - context.changed_at > bound
     }
     assert not late, late
 
@@ -166,7 +172,7 @@
     """A store that is read through a replica which falls behind."""
 
     def __init__(self):
-        self._listings = iter(LAGGING)
+        self._listings = iter(LISTED_REVISIONS)
         self.listed = asyncio.Event()
 
     async def scan(self, prefix, *, shared):
@@ -174,7 +180,7 @@
         revision = next(self._listings, 0)
         if not revision:
             self.listed.set()
-            await asyncio.sleep(LONGEST_S)
+            await asyncio.sleep(TEST_TIMEOUT_SECONDS)
         return Listing((Item('op/key', b'%d' % revision, revision),), revision)
 
     async def watch(self, prefix, after, terms):
@@ -190,7 +196,7 @@
 @when('a router lists the catalogue again and again')
 def list_again(context):
     async def play():
-        store, context.heard = context.open_store(), Heard()
+        store, context.heard = context.open_store(), RecordingSubscriber()
         contact = StoreContact(0.0)
         watch = PrefixWatch(
             store,
@@ -198,7 +204,7 @@
             context.heard,
             open_null_log(),
             contact,
-            lambda: plan_router_watch(1, 1, BOUND_S),
+            lambda: plan_router_watch(1, 1, MAX_PROPAGATION_SECONDS),
         )
         task = asyncio.create_task(watch.run(int))
         await store.listed.wait()
@@ -215,4 +221,6 @@
 
 @then('it takes the newer one')
 def check_newest(context):
-    assert context.heard.revisions[-1][1] == max(LAGGING), context.heard.revisions
+    assert context.heard.revisions[-1][1] == max(LISTED_REVISIONS), (
+        context.heard.revisions
+    )
--- a/features/steps/contentcoding_steps.py
+++ b/features/steps/contentcoding_steps.py
@@ -7,21 +7,21 @@
 import msgspec
 from applying_steps import make_catalogue
 from behave import given, then, when
-from domains import LONGEST_S, PEER_PORT, Domain
+from domains import PEER_PORT, TEST_TIMEOUT_SECONDS, FailureDomain
 
 from ibisport_bench.virtualnet import run_on_net
-from ibisport_fleet.content_coding import ACCEPTED, decode_body
+from ibisport_fleet.content_coding import ACCEPT_HEADERS, decode_body
 from ibisport_fleet.errors import AnswerInvalid
 from ibisport_fleet.http_connection import open_http_connection
 from ibisport_fleet.http_messages import Answer, AnswerHead
 from ibisport_platform.records import CATALOGUE_KEY, CATALOGUE_PREFIX
 
-MOST_BYTES = 2_000_000
-STARTS = {
+MAX_BODY_BYTES = 2_000_000
+REQUEST_LINES = {
     'watch': b'GET /kv-watch?prefix=op/&after=0&waitMs=500 HTTP/1.1',
     'list': b'GET /kv-range?prefix=op/ HTTP/1.1',
 }
-LISTS = {'watch': 'events', 'list': 'items'}
+LIST_FIELDS = {'watch': 'events', 'list': 'items'}
 
 
 def build_answer(body):
@@ -38,17 +38,19 @@
 @when('a router that accepts {accepted} sends a {call} call')
 def ask(context, accepted, call):
     async def play(net):
-        domain = Domain(net, 0, 1, CATALOGUE_PREFIX)
+        domain = FailureDomain(net, 0, 1, CATALOGUE_PREFIX)
         domain.service.put(CATALOGUE_KEY, context.content)
         await domain.open()
         return await net.start_on('router', send(domain))
 
     async def send(domain):
         address = next(iter(domain.relays.values())), PEER_PORT
-        async with asyncio.timeout(LONGEST_S):
-            exchange = await open_http_connection(address, domain.now + LONGEST_S)
-            headers = ACCEPTED if accepted == 'deflate' else ()
-            return await exchange.request(STARTS[call], headers, b'')
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+            exchange = await open_http_connection(
+                address, domain.now + TEST_TIMEOUT_SECONDS
+            )
+            headers = ACCEPT_HEADERS if accepted == 'deflate' else ()
+            return await exchange.request(REQUEST_LINES[call], headers, b'')
 
     context.call = call
     context.answer = run_on_net(play)
@@ -67,8 +69,8 @@
 
 @then('it reads the whole catalogue from it')
 def check_content(context):
-    found = msgspec.json.decode(decode_body(context.answer, MOST_BYTES))
-    values = [one['value'] for one in found[LISTS[context.call]]]
+    found = msgspec.json.decode(decode_body(context.answer, MAX_BODY_BYTES))
+    values = [one['value'] for one in found[LIST_FIELDS[context.call]]]
     assert [base64.b64decode(one) for one in values] == [context.content]
 
 
@@ -82,14 +84,14 @@
         case 'has other bytes within':
             body = body[:middle] + bytes(100) + body[middle + 100 :]
         case 'is longer than a body may be':
-            body = zlib.compress(bytes(MOST_BYTES + 1))
+            body = zlib.compress(bytes(MAX_BODY_BYTES + 1))
     context.answer = build_answer(body)
 
 
 @then('decoding it fails')
 def check_failure(context):
     try:
-        decode_body(context.answer, MOST_BYTES)
+        decode_body(context.answer, MAX_BODY_BYTES)
     except AnswerInvalid:
         return
     raise AssertionError('it was decoded')
--- a/features/steps/domains.py
+++ b/features/steps/domains.py
@@ -21,11 +21,11 @@
 STORE = ('10.0.0.1', 80)
 PEER_PORT = 7200
 DOMAIN = 'domain-1'
-CHANGE_BOUND_S = 2.0
-SILENT = Link(delay=1_000_000.0)
-SETTLING_S = 2.0
+MAX_PROPAGATION_SECONDS = 2.0
+SILENT_LINK = Link(delay=1_000_000.0)
+SETTLING_SECONDS = 2.0
 # Longer than any play; it ends a test that would hang.
-LONGEST_S = 60.0
+TEST_TIMEOUT_SECONDS = 60.0
 
 
 class CountingStore(MemoryStore):
@@ -33,7 +33,7 @@
 
     def __init__(self, service, caller):
         super().__init__(service, caller)
-        self.asked_at = []
+        self.watched_at = []
         self.listed_at = []
 
     async def scan(self, prefix, *, stale=False, shared=False):
@@ -43,15 +43,15 @@
 
     async def watch(self, prefix, after, terms):
         """Count a watch and wait for it."""
-        self.asked_at.append(asyncio.get_running_loop().time())
+        self.watched_at.append(asyncio.get_running_loop().time())
         return await super().watch(prefix, after, terms)
 
 
-class Heard:
+class RecordingSubscriber:
     """What one router knows, and since when."""
 
     def __init__(self):
-        self.since = {}
+        self.first_seen_at = {}
         self.revisions = []
 
     def apply_listing(self, listing, doubtful_until):
@@ -62,17 +62,18 @@
     def apply_change(self, change, doubtful_until):
         """Note when a key was heard of first, and each revision."""
         now = asyncio.get_running_loop().time()
-        self.since.setdefault(change.key, now)
+        self.first_seen_at.setdefault(change.key, now)
         self.revisions.append((now, change.revision))
 
-    def find_time(self, revision):
+    def find_seen_at(self, revision):
         """Return when this revision or a newer one was heard of first."""
         return min(
-            (when for when, one in self.revisions if one >= revision), default=LONGEST_S
+            (when for when, one in self.revisions if one >= revision),
+            default=TEST_TIMEOUT_SECONDS,
         )
 
 
-class Domain:
+class FailureDomain:
     """A failure domain: routers, relays, and the store outside of it.
 
     Attributes:
@@ -80,16 +81,18 @@
     """
 
     def __init__(
-        self, net, routers, relays, prefix=TARGET_PREFIX, bound=CHANGE_BOUND_S
+        self, net, routers, relays, prefix=TARGET_PREFIX, bound=MAX_PROPAGATION_SECONDS
     ):
         self.net = net
-        self.bound = bound
+        self.max_delay = bound
         self.prefix = prefix
         self.service = MemoryService()
         self.store = CountingStore(self.service, 'all')
         self.relays = {f'relay-{one}': f'10.0.1.{one}' for one in range(relays)}
-        self.vacant = []
-        self.routers = {f'router-{one}': Heard() for one in range(routers)}
+        self.hosts_without_relay = []
+        self.routers = {
+            f'router-{one}': RecordingSubscriber() for one in range(routers)
+        }
         self.written_at = {}
         self._names = itertools.count()
 
@@ -108,11 +111,13 @@
             await self._listen(host, place, relay.connections.accept)
         for host in self.routers:
             self.start_router(host)
-        await asyncio.sleep(SETTLING_S)
+        await asyncio.sleep(SETTLING_SECONDS)
 
     def start_router(self, host):
         """Let a router follow the prefix."""
-        self.net.start_on(host, self._follow(self.routers.setdefault(host, Heard())))
+        self.net.start_on(
+            host, self._follow(self.routers.setdefault(host, RecordingSubscriber()))
+        )
 
     async def change(self, count, seconds):
         """Write new keys, one after another."""
@@ -125,13 +130,13 @@
     def silence(self, host, others):
         """Let nothing pass any more between a host and others."""
         for other in others:
-            self.net.links[host, other] = self.net.links[other, host] = SILENT
+            self.net.links[host, other] = self.net.links[other, host] = SILENT_LINK
 
-    def mend(self):
+    def restore_links(self):
         """Let everything pass again."""
         self.net.links.clear()
 
-    def find_asked(self):
+    def find_preferred_relay(self):
         """Return the relay that the routers ask first."""
         ways = self._open_paths().list_shared_paths(self.prefix, self.now)
         return next(
@@ -141,10 +146,11 @@
     def list_late(self):
         """Return what was known too late or never, by router and key."""
         return [
-            (host, key, heard.since.get(key, LONGEST_S) - written)
+            (host, key, heard.first_seen_at.get(key, TEST_TIMEOUT_SECONDS) - written)
             for host, heard in self.routers.items()
             for key, written in self.written_at.items()
-            if heard.since.get(key, LONGEST_S) - written > self.bound
+            if heard.first_seen_at.get(key, TEST_TIMEOUT_SECONDS) - written
+            > self.max_delay
         ]
 
     async def _listen(self, host, address, accept):
@@ -154,7 +160,7 @@
         await self.net.start_on(host, listen())
 
     def _make_relay(self, host, address):
-        bounds = Bounds(0.2, 10, 10.0, 8.0, self.bound)
+        bounds = Bounds(0.2, 10, 10.0, 8.0, self.max_delay)
         place = (address, PEER_PORT)
         settings = HostSettings(host, DOMAIN, place, place, None, None, STORE, bounds)
         paths = StorePaths(STORE, DOMAIN, tuple)
@@ -164,10 +170,10 @@
         return Relay(settings, adapters, open_null_log())
 
     def _open_paths(self):
-        return StorePaths(STORE, DOMAIN, self._list_places)
+        return StorePaths(STORE, DOMAIN, self._list_relay_endpoints)
 
-    def _list_places(self):
-        listed = (*self.relays.values(), *self.vacant)
+    def _list_relay_endpoints(self):
+        listed = (*self.relays.values(), *self.hosts_without_relay)
         return [RelayEndpoint((address, PEER_PORT), DOMAIN) for address in listed]
 
     async def _follow(self, heard):
@@ -178,6 +184,6 @@
             heard,
             open_null_log(),
             contact,
-            lambda: plan_router_watch(len(self.routers), 1, self.bound),
+            lambda: plan_router_watch(len(self.routers), 1, self.max_delay),
         )
         await watch.run(int)
--- a/features/steps/followers.py
+++ b/features/steps/followers.py
@@ -11,7 +11,7 @@
     return EventLog(os.open(os.devnull, os.O_WRONLY))
 
 
-class KeptLog(EventLog):
+class ReadableLog(EventLog):
     """A log whose events can be read."""
 
     def __init__(self):
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from behave import given, then, when
-from domains import CHANGE_BOUND_S, LONGEST_S, Domain
+from domains import MAX_PROPAGATION_SECONDS, TEST_TIMEOUT_SECONDS, FailureDomain
 from followers import open_null_log
 
 from ibisport_bench.standins.memorystore import ANSWER_SECONDS, MemoryService
@@ -13,17 +13,17 @@
 from ibisport_fleet.watch_cache import WatchCache
 from ibisport_fleet.watch_schedule import plan_router_watch
 
-FAILURE_S = 1
+MAX_FAILURE_SECONDS = 1
 
 
-def _play(context, act):
+def _run_domain(context, act):
     async def play(net):
-        context.domain = Domain(net, context.count, context.relays)
+        context.domain = FailureDomain(net, context.count, context.relays)
         await context.domain.open()
         context.settled_at = net.time()
-        async with asyncio.timeout(LONGEST_S):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await act(context.domain)
-            await asyncio.sleep(CHANGE_BOUND_S + 0.5)
+            await asyncio.sleep(MAX_PROPAGATION_SECONDS + 0.5)
 
     run_on_net(play)
 
@@ -40,12 +40,12 @@
             await context.before(domain)
         await domain.change(count, seconds)
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @when('nothing changes for {seconds:d} seconds')
 def wait(context, seconds):
-    _play(context, lambda domain: asyncio.sleep(seconds))
+    _run_domain(context, lambda domain: asyncio.sleep(seconds))
 
 
 @when(
@@ -54,10 +54,10 @@
 )
 def list_vacant(context, count, seconds):
     async def act(domain):
-        domain.vacant = [f'10.0.2.{one}' for one in range(count)]
+        domain.hosts_without_relay = [f'10.0.2.{one}' for one in range(count)]
         await asyncio.sleep(seconds)
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @when(
@@ -69,15 +69,15 @@
         domain.service.faults.slow = answer / ANSWER_SECONDS
         await asyncio.sleep(seconds)
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 def _list_hosts(domain):
     return ['store', *domain.routers]
 
 
-def _fail(domain, fails):
-    asked, routers = domain.find_asked(), list(domain.routers)
+def _inject_fault(domain, fails):
+    asked, routers = domain.find_preferred_relay(), list(domain.routers)
     match fails:
         case 'dies':
             domain.net.kill(asked)
@@ -103,17 +103,17 @@
     async def act(domain):
         changing = asyncio.create_task(domain.change(count, seconds))
         await asyncio.sleep(seconds / 4)
-        _fail(domain, fails)
+        _inject_fault(domain, fails)
         await changing
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @when('the relay that they ask is cut off from the store for {seconds:d} seconds')
 def cut_for_a_while(context, seconds):
     async def before(domain):
-        domain.silence(domain.find_asked(), ['store'])
-        domain.net.call_later(seconds, domain.mend)
+        domain.silence(domain.find_preferred_relay(), ['store'])
+        domain.net.call_later(seconds, domain.restore_links)
 
     context.before = before
 
@@ -129,7 +129,7 @@
         domain.silence('router-0', ['store'])
         await changing
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @when('the store is away for {seconds:d} seconds and a router starts meanwhile')
@@ -142,7 +142,7 @@
         domain.service.faults.down = False
         await domain.change(1, 0.0)
 
-    _play(context, act)
+    _run_domain(context, act)
 
 
 @then('each router knows each of them within 2 seconds')
@@ -156,7 +156,7 @@
 @then('the store was asked for changes at most {most:d} times')
 def check_asked(context, most):
     asked = [
-        when for when in context.domain.store.asked_at if when > context.settled_at
+        when for when in context.domain.store.watched_at if when > context.settled_at
     ]
     assert len(asked) <= most, len(asked)
 
@@ -166,7 +166,7 @@
     'at most {most:d} times'
 )
 def check_asked_late(context, seconds, most):
-    asked = context.domain.store.asked_at
+    asked = context.domain.store.watched_at
     late = [when for when in asked if when > asked[-1] - seconds]
     assert len(late) <= most, len(late)
 
@@ -176,7 +176,9 @@
     async def open_cache():
         service = MemoryService()
         service.put('op/a', b'1')
-        cache = WatchCache(service.open_store('relay'), CHANGE_BOUND_S, open_null_log())
+        cache = WatchCache(
+            service.open_store('relay'), MAX_PROPAGATION_SECONDS, open_null_log()
+        )
         first = service.revision
         watch = cache.find('op/', first)
         await asyncio.sleep(0.1)
@@ -192,7 +194,7 @@
         service.faults.cut = {'relay'}
         begun = asyncio.get_running_loop().time()
         try:
-            context.answer = await watch.ask(first, 0.1)
+            context.answer = await watch.wait_for_changes(first, 0.1)
         except StoreError as error:
             context.answer = error
         context.passed = asyncio.get_running_loop().time() - begun
@@ -203,7 +205,7 @@
 @then('the router gets no answer without changes, but a failure within 1 second')
 def check_failure(context):
     assert isinstance(context.answer, StoreError), context.answer
-    assert context.passed < FAILURE_S, context.passed
+    assert context.passed < MAX_FAILURE_SECONDS, context.passed
 
 
 @when('a router waits {seconds:d} seconds for changes, and none comes')
@@ -211,7 +213,7 @@
     async def play():
         _, _, watch, first = await context.open_cache()
         begun = asyncio.get_running_loop().time()
-        context.changes = await watch.ask(first, seconds)
+        context.changes = await watch.wait_for_changes(first, seconds)
         context.passed = asyncio.get_running_loop().time() - begun
 
     run_virtually(play())
@@ -220,7 +222,7 @@
 @then('it gets an answer without changes after {seconds:d} seconds')
 def check_long(context, seconds):
     assert not context.changes.changes
-    assert seconds <= context.passed < seconds + FAILURE_S, context.passed
+    assert seconds <= context.passed < seconds + MAX_FAILURE_SECONDS, context.passed
 
 
 @when('{count:d} other prefixes are asked for')
@@ -258,7 +260,7 @@
         service, _, watch, _ = await context.open_cache()
         service.put('op/a', b'2')
         # The router has listed this change before the relay heard of it.
-        asking = asyncio.create_task(watch.ask(service.revision, 5.0))
+        asking = asyncio.create_task(watch.wait_for_changes(service.revision, 5.0))
         await asyncio.sleep(1.0)
         service.put('op/a', b'3')
         context.changes = await asking
@@ -277,10 +279,10 @@
     'and {many:d} in {fewer:d} share'
 )
 def check_plan(context, few, domains, many, fewer):
-    assert not plan_router_watch(few, domains, CHANGE_BOUND_S).shared
-    assert plan_router_watch(many, fewer, CHANGE_BOUND_S).shared
+    assert not plan_router_watch(few, domains, MAX_PROPAGATION_SECONDS).shared
+    assert plan_router_watch(many, fewer, MAX_PROPAGATION_SECONDS).shared
 
 
 @then("routers share while it isn't known how many there are")
 def check_unknown(context):
-    assert plan_router_watch(None, 4, CHANGE_BOUND_S).shared
+    assert plan_router_watch(None, 4, MAX_PROPAGATION_SECONDS).shared
--- a/features/steps/storecalls_steps.py
+++ b/features/steps/storecalls_steps.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from behave import given, then, when
-from followers import KeptLog, NewestContent, open_null_log
+from followers import NewestContent, ReadableLog, open_null_log
 
 from ibisport_bench.memorytransport import Link
 from ibisport_bench.standins.memorystore import MemoryService
@@ -23,16 +23,16 @@
 STORE = ('10.0.0.1', 80)
 RELAY = ('10.0.0.2', 7200)
 DOMAIN = 'domain-1'
-CHANGE_BOUND_S = 2.0
+MAX_PROPAGATION_SECONDS = 2.0
 # Longer than any call may take; it ends a test that would hang.
-LONGEST_S = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 PART_BYTES = 10_000
 HEAD = b'HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n'
 
 
 def plan_alone():
     """Return how a router without others watches."""
-    return plan_router_watch(1, 1, CHANGE_BOUND_S)
+    return plan_router_watch(1, 1, MAX_PROPAGATION_SECONDS)
 
 
 def make_content(number, size):
@@ -40,13 +40,13 @@
     return b'%d ' % number + bytes(size)
 
 
-def _play(context, use):
+def _run_router(context, use):
     """Run a router's use of the store, which a relay beside it counts too."""
     context.relayed = 0
 
     async def count_relayed(channel):
         context.relayed += 1
-        await asyncio.sleep(LONGEST_S)
+        await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
     async def listen(net, address, serve):
         await net.create_server(serve.accept, *address)
@@ -61,8 +61,8 @@
         await net.start_on('relay', listen(net, RELAY, relay))
         places = [RelayEndpoint(RELAY, DOMAIN)]
         context.paths = StorePaths(STORE, DOMAIN, lambda: places)
-        async with asyncio.timeout(LONGEST_S):
-            context.log = KeptLog()
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+            context.log = ReadableLog()
             store = PlatformStore(context.paths, context.log)
             return await net.start_on('router', use(store))
 
@@ -94,7 +94,7 @@
             channel.write(b'x')
             if not pause:
                 context.heard_at.append(asyncio.get_running_loop().time())
-        await asyncio.sleep(LONGEST_S)
+        await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
     context.serve = lambda: ConnectionTasks(serve, 'store', open_null_log())
 
@@ -116,7 +116,7 @@
         return await store.scan(CATALOGUE_PREFIX)
 
     context.size = size
-    context.listing = _play(context, use)
+    context.listing = _run_router(context, use)
 
 
 @when('the router lists a catalogue of {size:d} bytes, and a call beside it fails')
@@ -134,7 +134,7 @@
         return await listing
 
     context.size = size
-    context.listing = _play(context, use)
+    context.listing = _run_router(context, use)
     assert context.other_failed
 
 
@@ -162,7 +162,7 @@
         except StoreUnknown:
             return asyncio.get_running_loop().time()
 
-    context.failed_at = _play(context, use)
+    context.failed_at = _run_router(context, use)
 
 
 @then('the call has failed within {seconds:g} second of the last byte')
@@ -211,7 +211,7 @@
         return view.content
 
     context.newest = make_content(count, size)
-    context.content = _play(context, use)
+    context.content = _run_router(context, use)
 
 
 @then('it has the newest catalogue 3 seconds after the last change')
@@ -229,7 +229,7 @@
         conditions = [Condition('changed', 1), Condition('absent', 0)]
         return await store.write(conditions, [Put('absent', b'own')])
 
-    context.conflict = _play(context, use)
+    context.conflict = _run_router(context, use)
 
 
 @then('the conflict brings the changed key and names the absent one')
--- a/features/steps/virtualnet_steps.py
+++ b/features/steps/virtualnet_steps.py
@@ -7,16 +7,16 @@
 from ibisport_bench.memorytransport import Link
 from ibisport_bench.virtualnet import run_on_net
 
-PLACE = ('10.0.0.1', 80)
+ADDRESS = ('10.0.0.1', 80)
 
 
 class Recorder(asyncio.Protocol):
     """Keeps what comes, and when the writer is stopped."""
 
     def __init__(self):
-        self.got = b''
+        self.received = b''
         self.ended = self.lost = self.failure = None
-        self.stops = 0
+        self.pause_count = 0
 
     def connection_made(self, transport):
         """Keep the transport."""
@@ -24,8 +24,8 @@
 
     def data_received(self, data):
         """Keep the bytes and their time."""
-        self.got += data
-        self.heard_at = asyncio.get_running_loop().time()
+        self.received += data
+        self.received_at = asyncio.get_running_loop().time()
 
     def eof_received(self):
         """Note the end."""
@@ -37,10 +37,10 @@
 
     def pause_writing(self):
         """Count how often the writer is stopped."""
-        self.stops += 1
+        self.pause_count += 1
 
 
-def _play(context, link, act):
+def _run_connection(context, link, act):
     async def play(net):
         net.links['server', ''] = link
         accepted = []
@@ -50,11 +50,11 @@
                 accepted.append(Recorder())
                 return accepted[-1]
 
-            context.listener = await net.create_server(accept, *PLACE)
+            context.listener = await net.create_server(accept, *ADDRESS)
 
         await net.start_on('server', serve())
         context.reader = Recorder()
-        await net.create_connection(lambda: context.reader, *PLACE)
+        await net.create_connection(lambda: context.reader, *ADDRESS)
         context.sender = accepted[0]
         await act(net)
 
@@ -78,7 +78,7 @@
         context.sender.transport.close()
         await asyncio.sleep(10.0)
 
-    _play(context, context.link, act)
+    _run_connection(context, context.link, act)
 
 
 @then('they are whole {seconds:g} s after the call to connect, and then the end comes')
@@ -86,8 +86,8 @@
     reader = context.reader
     # 0.5 s until the connection stands, 2 s of bytes, 0.5 s on the way; the other
     # direction has the usual delay.
-    assert round(reader.heard_at, 2) == round(seconds, 2), reader.heard_at
-    assert len(reader.got) == 2_000 and reader.ended and reader.failure is None
+    assert round(reader.received_at, 2) == round(seconds, 2), reader.received_at
+    assert len(reader.received) == 2_000 and reader.ended and reader.failure is None
 
 
 @when('{size:d} bytes are sent to a reader that reads nothing for {seconds:g} s')
@@ -96,19 +96,19 @@
         context.reader.transport.pause_reading()
         context.sender.transport.write(bytes(size))
         await asyncio.sleep(seconds)
-        context.before = len(context.reader.got)
+        context.before = len(context.reader.received)
         context.held = context.sender.transport.get_write_buffer_size()
         context.reader.transport.resume_reading()
         await asyncio.sleep(1.0)
 
-    _play(context, context.link, act)
+    _run_connection(context, context.link, act)
 
 
 @then('the sender was made to wait, and the reader got all')
 def check_wait(context):
-    assert context.before == 0 and context.sender.stops == 1
+    assert context.before == 0 and context.sender.pause_count == 1
     assert context.held == 200_000 - context.link.room, context.held
-    assert len(context.reader.got) == 200_000, len(context.reader.got)
+    assert len(context.reader.received) == 200_000, len(context.reader.received)
     assert context.sender.transport.get_write_buffer_size() == 0
 
 
@@ -122,13 +122,13 @@
         context.reader.transport.resume_reading()
         await asyncio.sleep(1.0)
 
-    _play(context, context.link, act)
+    _run_connection(context, context.link, act)
 
 
 @then('the reader gets {size:d} bytes and the end')
 def check_part(context, size):
     reader = context.reader
-    assert len(reader.got) == size and reader.ended, len(reader.got)
+    assert len(reader.received) == size and reader.ended, len(reader.received)
     assert not context.listener.is_serving()
 
 
@@ -141,7 +141,7 @@
         context.sender.transport.close()
         await asyncio.sleep(1.0)
 
-    _play(context, Link(), act)
+    _run_connection(context, Link(), act)
 
 
 @then('the peer sees a reset')
@@ -155,15 +155,15 @@
         context.listener.close()
         context.sender.transport.write(b'still there')
         try:
-            await net.create_connection(Recorder, *PLACE)
+            await net.create_connection(Recorder, *ADDRESS)
         except ConnectionRefusedError as error:
             context.refusal = error
         await asyncio.sleep(1.0)
 
-    _play(context, Link(), act)
+    _run_connection(context, Link(), act)
 
 
 @then('the connection still carries bytes, and a new one is refused')
 def check_refusal(context):
-    assert context.reader.got == b'still there', context.reader.got
+    assert context.reader.received == b'still there', context.reader.received
     assert context.refusal is not None
--- a/packages/fleet/src/ibisport_fleet/channel.py
+++ b/packages/fleet/src/ibisport_fleet/channel.py
@@ -14,11 +14,11 @@
 
 # Above this many unread bytes the peer is made to wait, so that one connection
 # can't take the memory of the process.
-MOST_UNREAD_BYTES = 262_144
+MAX_UNREAD_BYTES = 262_144
 # A connection on which sent bytes stay unacknowledged for so long is dead:
 # nothing else shows a peer that lost power or a path that fell silent.
-UNACKNOWLEDGED_MS = 3_000
-KEEPALIVE_IDLE_S = 2
+UNACKNOWLEDGED_TIMEOUT_MS = 3_000
+KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_PROBES = 2
 
 
@@ -34,12 +34,12 @@
         self._on_open = on_open
         self._transport: asyncio.Transport | None = None
         self._unread: deque[bytes] = deque()
-        self._unread_size = 0
+        self._unread_bytes = 0
         self._ended = False
         self._failure: BaseException | None = None
         self._reading_paused = False
-        self._reader: asyncio.Future[None] | None = None
-        self._writer: asyncio.Future[None] | None = None
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._write_waiter: asyncio.Future[None] | None = None
         self._writing_paused = False
 
     @property
@@ -68,11 +68,11 @@
     def data_received(self, data: bytes) -> None:
         """Keep what came until it is read."""
         self._unread.append(data)
-        self._unread_size += len(data)
-        if self._unread_size > MOST_UNREAD_BYTES and not self._reading_paused:
+        self._unread_bytes += len(data)
+        if self._unread_bytes > MAX_UNREAD_BYTES and not self._reading_paused:
             self._reading_paused = True
             self._require_transport().pause_reading()
-        _wake(self._reader)
+        _wake(self._read_waiter)
 
     def eof_received(self) -> bool:
         """Note that the peer sends no more; the connection is closed."""
@@ -90,7 +90,7 @@
     def resume_writing(self) -> None:
         """Let writers go on."""
         self._writing_paused = False
-        _wake(self._writer)
+        _wake(self._write_waiter)
 
     async def read(self) -> bytes:
         """Return the next bytes, empty at the end of the peer's bytes.
@@ -103,11 +103,11 @@
                 raise ConnectionBroken('the connection was reset') from self._failure
             if self._ended:
                 return b''
-            self._reader = asyncio.get_running_loop().create_future()
-            await self._reader
+            self._read_waiter = asyncio.get_running_loop().create_future()
+            await self._read_waiter
         data = self._unread.popleft()
-        self._unread_size -= len(data)
-        if self._reading_paused and self._unread_size <= MOST_UNREAD_BYTES // 2:
+        self._unread_bytes -= len(data)
+        if self._reading_paused and self._unread_bytes <= MAX_UNREAD_BYTES // 2:
             self._reading_paused = False
             if not self._ended:
                 self._require_transport().resume_reading()
@@ -121,8 +121,8 @@
     async def drain(self) -> None:
         """Wait until the peer has taken most of what was written."""
         while self._writing_paused and not self._ended:
-            self._writer = asyncio.get_running_loop().create_future()
-            await self._writer
+            self._write_waiter = asyncio.get_running_loop().create_future()
+            await self._write_waiter
 
     def close(self) -> None:
         """Close once all that was written is sent."""
@@ -140,8 +140,8 @@
         if self._ended:
             return
         self._ended = True
-        _wake(self._reader)
-        _wake(self._writer)
+        _wake(self._read_waiter)
+        _wake(self._write_waiter)
         if self.on_lost is not None:
             self.on_lost()
 
@@ -182,7 +182,9 @@
         return
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    raw.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+    )
--- a/packages/fleet/src/ibisport_fleet/connection_pool.py
+++ b/packages/fleet/src/ibisport_fleet/connection_pool.py
@@ -8,8 +8,8 @@
 
 # Below the idle time-outs that targets state in whole seconds, less a second for
 # the way and the rounding.
-DEFAULT_IDLE_S = 3.0
-IDLE_MARGIN_S = 1.0
+DEFAULT_IDLE_SECONDS = 3.0
+IDLE_MARGIN_SECONDS = 1.0
 
 
 class ConnectionPool:
@@ -47,7 +47,7 @@
         if not exchange.reusable:
             exchange.close()
             return
-        stated = DEFAULT_IDLE_S if idle_seconds is None else idle_seconds
+        stated = DEFAULT_IDLE_SECONDS if idle_seconds is None else idle_seconds
         now = asyncio.get_running_loop().time()
-        exchange.idle_until = now + max(0.0, stated - IDLE_MARGIN_S)
+        exchange.idle_until = now + max(0.0, stated - IDLE_MARGIN_SECONDS)
         self._idle.setdefault(exchange.address, deque()).append(exchange)
--- a/packages/fleet/src/ibisport_fleet/content_coding.py
+++ b/packages/fleet/src/ibisport_fleet/content_coding.py
@@ -6,11 +6,11 @@
 from ibisport_fleet.http_messages import Answer, Headers, Request
 
 CODING = b'deflate'
-ACCEPTED: Headers = ((b'accept-encoding', CODING),)
+ACCEPT_HEADERS: Headers = ((b'accept-encoding', CODING),)
 # Shorter bodies fit into a few packets as they are.
-LEAST_BYTES = 4_096
+MIN_CODED_BYTES = 4_096
 # The fastest level: the higher ones save a tenth more for twice the time.
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 
 def accepts_coding(request: Request) -> bool:
@@ -18,7 +18,7 @@
     return CODING in (request.find(b'accept-encoding') or b'')
 
 
-def drop_accepted(headers: Headers) -> Headers:
+def drop_accept_encoding(headers: Headers) -> Headers:
     """Return a request's headers without the codings that it accepts."""
     return tuple(pair for pair in headers if pair[0] != b'accept-encoding')
 
@@ -26,10 +26,10 @@
 def encode_body(headers: Headers, body: bytes) -> tuple[Headers, bytes]:
     """Return the headers and the body of an answer, coded if that is worth it."""
     coded = any(name == b'content-encoding' for name, _ in headers)
-    if coded or len(body) < LEAST_BYTES:
+    if coded or len(body) < MIN_CODED_BYTES:
         return headers, body
     coding = (b'content-encoding', CODING)
-    return (*headers, coding), zlib.compress(body, LEVEL)
+    return (*headers, coding), zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def decode_body(answer: Answer, most_bytes: int) -> bytes:
--- a/packages/fleet/src/ibisport_fleet/http_connection.py
+++ b/packages/fleet/src/ibisport_fleet/http_connection.py
@@ -14,31 +14,31 @@
 
 FIRST_FINAL_STATUS = 200
 # Answers that have no body, whatever their headers say (RFC 9112, section 6.3).
-BODILESS = frozenset((204, 304))
+BODILESS_STATUSES = frozenset((204, 304))
 # The parser's own buffers are small; this bounds what one answer may take.
-MOST_WHOLE_BODY = 8_388_608
+MAX_BODY_BYTES = 8_388_608
 
 
 @dataclass(frozen=True, slots=True)
-class _Part:
+class _BodyPart:
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class _End:
+class _AnswerEnd:
     """The answer is whole, as far as its framing tells."""
 
 
-_Piece = AnswerHead | _Part | _End
+_AnswerEvent = AnswerHead | _BodyPart | _AnswerEnd
 
 
-class AnswerWatcher(Protocol):
+class AnswerObserver(Protocol):
     """Follows how an answer comes."""
 
-    def take_head(self, head: AnswerHead) -> None:
+    def handle_head(self, head: AnswerHead) -> None:
         """Note the head; what it raises ends the exchange."""
 
-    def note_bytes(self, size: int) -> None:
+    def handle_bytes(self, size: int) -> None:
         """Note that so many bytes of the body came."""
 
 
@@ -55,10 +55,10 @@
     def __init__(self, address: Address, channel: Channel) -> None:
         self.address = address
         self.idle_until = 0.0
-        self.answered = False
+        self.keep_alive = False
         self._channel = channel
-        self._pieces: deque[_Piece] = deque()
-        self._begin_parsing()
+        self._events: deque[_AnswerEvent] = deque()
+        self._reset_parser()
 
     @property
     def channel(self) -> Channel:
@@ -69,7 +69,7 @@
     def reusable(self) -> bool:
         """Whether another request may be sent: nothing is left over."""
         channel = self._channel
-        busy = self._pieces or self._parsing or self._spoilt or channel.has_unread
+        busy = self._events or self._parsing or self._malformed or channel.has_unread
         return not (busy or channel.ended) and channel.flushed
 
     def send(self, start: bytes, headers: Headers, body: bytes) -> None:
@@ -78,7 +78,7 @@
             headers = (*headers, (b'content-length', b'%d' % len(body)))
         self._channel.write(encode_head(start, headers) + body)
 
-    async def read_head(self, watcher: AnswerWatcher | None = None) -> AnswerHead:
+    async def read_head(self, watcher: AnswerObserver | None = None) -> AnswerHead:
         """Return the head of the next final answer.
 
         Args:
@@ -89,13 +89,13 @@
             ConnectionBroken: The connection was reset.
         """
         while True:
-            piece = await self._next_piece()
+            piece = await self._next_event()
             match piece:
                 case AnswerHead(status=status) if status >= FIRST_FINAL_STATUS:
                     return piece
-                case AnswerHead() | _Part() | _End() if watcher is not None:
+                case AnswerHead() | _BodyPart() | _AnswerEnd() if watcher is not None:
                     # What belongs to an interim answer.
-                    watcher.note_bytes(0)
+                    watcher.handle_bytes(0)
 
     async def read_part(self) -> bytes | None:
         """Return the next bytes of the body, or None after its end.
@@ -104,16 +104,16 @@
             AnswerInvalid: The answer ends early.
             ConnectionBroken: The connection was reset.
         """
-        piece = await self._next_piece()
+        piece = await self._next_event()
         match piece:
-            case _Part(content=content):
+            case _BodyPart(content=content):
                 return content
-            case _End():
+            case _AnswerEnd():
                 return None
             case AnswerHead():
                 raise AnswerInvalid('an answer begins within another')
 
-    async def read_body(self, watcher: AnswerWatcher | None = None) -> bytes:
+    async def read_body(self, watcher: AnswerObserver | None = None) -> bytes:
         """Return the whole body that follows a head.
 
         Args:
@@ -127,8 +127,8 @@
         while (part := await self.read_part()) is not None:
             parts += part
             if watcher is not None:
-                watcher.note_bytes(len(part))
-            if len(parts) > MOST_WHOLE_BODY:
+                watcher.handle_bytes(len(part))
+            if len(parts) > MAX_BODY_BYTES:
                 raise AnswerInvalid('the body is too long')
         return bytes(parts)
 
@@ -137,7 +137,7 @@
         start: bytes,
         headers: Headers,
         body: bytes,
-        watcher: AnswerWatcher | None = None,
+        watcher: AnswerObserver | None = None,
     ) -> Answer:
         """Send one request and return its whole answer.
 
@@ -147,13 +147,13 @@
             body: Its body.
             watcher: Is told of the answer's head and of each part.
         """
-        self.answered = False
+        self.keep_alive = False
         self.send(start, headers, body)
         head = await self.read_head(watcher)
         if watcher is not None:
-            watcher.take_head(head)
+            watcher.handle_head(head)
         content = await self.read_body(watcher)
-        self.answered = head.keeps_open
+        self.keep_alive = head.keeps_open
         return Answer(head, content)
 
     def close(self) -> None:
@@ -177,31 +177,31 @@
         framed = (
             b'content-length' in names
             or b'transfer-encoding' in names
-            or status in BODILESS
+            or status in BODILESS_STATUSES
             or status < FIRST_FINAL_STATUS
         )
         self._framed = framed
         keeps_open = framed and self._parser.should_keep_alive()
-        self._pieces.append(AnswerHead(status, headers, keeps_open, framed))
+        self._events.append(AnswerHead(status, headers, keeps_open, framed))
 
     def on_body(self, body: bytes) -> None:
         """Keep a piece of the body."""
-        self._pieces.append(_Part(body))
+        self._events.append(_BodyPart(body))
 
     def on_message_complete(self) -> None:
         """Note the end of an answer."""
         self._parsing = False
-        self._pieces.append(_End())
+        self._events.append(_AnswerEnd())
 
-    def _begin_parsing(self) -> None:
+    def _reset_parser(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._parsing = False
         self._framed = True
-        self._spoilt = False
+        self._malformed = False
         self._headers = []
 
-    async def _next_piece(self) -> _Piece:
-        while not self._pieces:
+    async def _next_event(self) -> _AnswerEvent:
+        while not self._events:
             data = await self._channel.read()
             if data:
                 self._feed(data)
@@ -210,17 +210,17 @@
                 self.on_message_complete()
             else:
                 raise AnswerInvalid('the connection ended before the answer')
-        return self._pieces.popleft()
+        return self._events.popleft()
 
     def _feed(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self._pieces:
+            if not self._events:
                 raise AnswerInvalid(f'not an answer: {error!r}') from error
             # What was whole before the bad bytes may still be read; the rest
             # shows as an early end.
-            self._spoilt = True
+            self._malformed = True
             self._channel.abort()
 
 
--- a/packages/fleet/src/ibisport_fleet/prefix_watch.py
+++ b/packages/fleet/src/ibisport_fleet/prefix_watch.py
@@ -15,15 +15,15 @@
 from ibisport_fleet.store_contact import StoreContact
 from ibisport_fleet.watch_schedule import WatchSchedule
 
-RETRY_PAUSE_S = 0.15
+MIN_BACKOFF_SECONDS = 0.15
 # The pause doubles up to this one, so that an outage isn't filled with calls.
-LONGEST_RETRY_PAUSE_S = 0.6
+MAX_BACKOFF_SECONDS = 0.6
 # Changes that are longer by so much than all keys together are listed instead: a watch
 # brings each version since, and a narrow link never catches up with large ones.
-MOST_EXCESS_BYTES = 262_144
+MAX_EXCESS_BYTES = 262_144
 
 
-class Follower(Protocol):
+class Subscriber(Protocol):
     """Takes what a watch brings."""
 
     def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
@@ -44,7 +44,7 @@
         self,
         store: Store,
         prefix: str,
-        follower: Follower,
+        follower: Subscriber,
         log: EventLog,
         contact: StoreContact,
         plan: Callable[[], WatchSchedule],
@@ -60,72 +60,72 @@
             plan: Tells how the next watch is to be made.
         """
         self.confirmed_at = asyncio.get_running_loop().time()
-        self._plan = plan
+        self._plan_schedule = plan
         self._store = store
         self._prefix = prefix
-        self._follower = follower
+        self._subscriber = follower
         self._log = log
         self._contact = contact
         self._failing = False
         self._revision: int | None = None
-        self._newest = 0
-        self._pause = RETRY_PAUSE_S
+        self._max_revision = 0
+        self._backoff = MIN_BACKOFF_SECONDS
         self._listed_bytes = 0
 
     async def run(self, on_first: Callable[[], None]) -> None:
         """Follow the prefix for ever; ``on_first`` is called at the first listing."""
         while True:
             try:
-                await self._take_next(on_first)
+                await self._update_once(on_first)
             except HistoryLost:
                 self._log.write(Event.watch_lost, prefix=self._prefix)
                 self._revision = None
             except ChangesTooLong:
                 self._revision = None
             except StoreError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 # A watch brings each version since, and a listing the newest alone.
                 self._revision = None
-                await asyncio.sleep(self._pause)
-                self._pause = min(2 * self._pause, LONGEST_RETRY_PAUSE_S)
+                await asyncio.sleep(self._backoff)
+                self._backoff = min(2 * self._backoff, MAX_BACKOFF_SECONDS)
 
-    async def _take_next(self, on_first: Callable[[], None]) -> None:
-        pace = self._plan()
+    async def _update_once(self, on_first: Callable[[], None]) -> None:
+        pace = self._plan_schedule()
         if self._revision is None:
             listing = await self._store.scan(self._prefix, shared=pace.shared)
-            if listing.revision < self._newest:
+            if listing.revision < self._max_revision:
                 raise StoreUnavailable(f'a listing of revision {listing.revision}')
-            self._note_answer()
-            self._follower.apply_listing(listing, self._contact.doubtful_until)
-            self._revision = self._newest = listing.revision
+            self._record_answer()
+            self._subscriber.apply_listing(listing, self._contact.doubtful_until)
+            self._revision = self._max_revision = listing.revision
             self._listed_bytes = sum(len(item.content) for item in listing.items)
             on_first()
             return
         begun = asyncio.get_running_loop().time()
-        most_bytes = self._listed_bytes + MOST_EXCESS_BYTES
+        most_bytes = self._listed_bytes + MAX_EXCESS_BYTES
         terms = WatchOptions(pace.wait, most_bytes, pace.shared)
         changes = await self._store.watch(self._prefix, self._revision, terms)
-        self._note_answer()
+        self._record_answer()
         for change in changes.changes:
-            self._follower.apply_change(change, self._contact.doubtful_until)
+            self._subscriber.apply_change(change, self._contact.doubtful_until)
         self._revision = max(self._revision, changes.revision)
-        self._newest = self._revision
+        self._max_revision = self._revision
         if changes.changes:
             # Changes that follow each other closely come together.
             now = asyncio.get_running_loop().time()
-            await asyncio.sleep(begun + pace.gap - now)
+            await asyncio.sleep(begun + pace.min_interval - now)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self.confirmed_at = asyncio.get_running_loop().time()
         away = self._contact.record_answer(self.confirmed_at)
-        self._pause = RETRY_PAUSE_S
+        self._backoff = MIN_BACKOFF_SECONDS
         if self._failing:
             self._failing = False
             self._log.write(
                 Event.store_regained, prefix=self._prefix, away_s=round(away, 3)
             )
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         if not self._failing:
             self._failing = True
             self._log.write(Event.store_lost, prefix=self._prefix, reason=repr(error))
--- a/packages/fleet/src/ibisport_fleet/relay.py
+++ b/packages/fleet/src/ibisport_fleet/relay.py
@@ -20,7 +20,7 @@
 from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.content_coding import (
     accepts_coding,
-    drop_accepted,
+    drop_accept_encoding,
     encode_body,
 )
 from ibisport_fleet.errors import FleetError, StoreError
@@ -36,18 +36,18 @@
 from ibisport_fleet.request_reader import RequestReader
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.store import Store, WatchResult
-from ibisport_fleet.store_call import LONGEST_ANSWER_S, LONGEST_SILENCE_S
+from ibisport_fleet.store_call import MAX_ANSWER_SECONDS, MAX_SILENCE_SECONDS
 from ibisport_fleet.watch_cache import WatchCache
 
 # A call that waits for changes takes up to 1.5 s; no caller waits beyond this.
-MOST_CALL_SECONDS = 3.0
+MAX_CALL_SECONDS = 3.0
 # Routers keep their connections; one that was silent for so long is dropped.
-IDLE_SECONDS = 60.0
+IDLE_TIMEOUT_SECONDS = 60.0
 # Kept back of the grace, for the end of the process itself.
 EXIT_MARGIN_SECONDS = 0.5
 # How often a leaving relay looks whether its last answers are sent: an answer takes
 # 4 ms, and nobody waits for the process to end.
-LEAVE_CHECK_S = 0.02
+DRAIN_POLL_SECONDS = 0.02
 # The store has not seen the call: the router takes another way at once.
 REFUSAL = (
     b'HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n'
@@ -57,12 +57,12 @@
 UNAVAILABLE = b'HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n'
 CLOSE: Headers = ((b'connection', b'close'),)
 # Answers to watches that are kept for the next router.
-MOST_DUMPED = 4
+MAX_CACHED_ANSWERS = 4
 # An interim answer (RFC 2518, section 10.1) each so often while a long one comes.
 PROCESSING = b'HTTP/1.1 102 Processing\r\n\r\n'
-PROGRESS_PERIOD_S = 0.25
+PROGRESS_INTERVAL_SECONDS = 0.25
 # The largest value of the store, encoded, and its frame.
-RELAY_LIMITS = Limits(max_body_bytes=2_097_152, idle_seconds=IDLE_SECONDS)
+RELAY_LIMITS = Limits(max_body_bytes=2_097_152, idle_seconds=IDLE_TIMEOUT_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
     wait: float
 
 
-class WatchWire(Protocol):
+class WatchCodec(Protocol):
     """How a platform's watch calls go over a connection."""
 
     def decode_watch_call(self, request: Request) -> WatchCall | None:
@@ -100,7 +100,7 @@
     """
 
     open_store: Callable[[EventLog], Store]
-    watches: WatchWire
+    watch_codec: WatchCodec
 
 
 class Relay:
@@ -115,15 +115,15 @@
         self, settings: HostSettings, adapters: RelayAdapters, log: EventLog
     ) -> None:
         self._store_address = settings.store_address
-        self._wire = adapters.watches
+        self._watch_codec = adapters.watch_codec
         store = adapters.open_store(log)
         self._watches = WatchCache(store, settings.bounds.max_propagation_delay, log)
         # Routers that wait for the same changes get the same bytes.
-        self._dump = lru_cache(MOST_DUMPED)(self._dump_watch)
-        self._idle: list[HttpConnection] = []
-        self._leaving = False
+        self._encode_cached = lru_cache(MAX_CACHED_ANSWERS)(self._encode_watch_answer)
+        self._idle_connections: list[HttpConnection] = []
+        self._draining = False
         # Connections on which no call is passed on, with what they read.
-        self._waiting: dict[Channel, RequestReader] = {}
+        self._readers: dict[Channel, RequestReader] = {}
         self.connections = ConnectionTasks(self._serve, 'relay', log)
         self.in_flight = 0
 
@@ -137,13 +137,13 @@
             until: Loop time by which the answers must be out.
         """
         loop = asyncio.get_running_loop()
-        until = min(until, loop.time() + MOST_CALL_SECONDS)
-        self._leaving = True
-        for channel, reader in tuple(self._waiting.items()):
+        until = min(until, loop.time() + MAX_CALL_SECONDS)
+        self._draining = True
+        for channel, reader in tuple(self._readers.items()):
             if not (reader.has_partial_request or channel.has_unread):
                 channel.close()
         while len(self.connections) and loop.time() < until:
-            await asyncio.sleep(LEAVE_CHECK_S)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def _serve(self, channel: Channel) -> None:
         reader = RequestReader(channel, RELAY_LIMITS)
@@ -154,15 +154,15 @@
             channel.abort()
 
     async def _serve_calls(self, reader: RequestReader, channel: Channel) -> None:
-        while not self._leaving:
-            self._waiting[channel] = reader
+        while not self._draining:
+            self._readers[channel] = reader
             try:
                 request = await reader.read()
             finally:
-                self._waiting.pop(channel, None)
+                self._readers.pop(channel, None)
             if request is None:
                 return
-            if self._leaving:
+            if self._draining:
                 channel.write(REFUSAL)
                 break
             self.in_flight += 1
@@ -172,59 +172,59 @@
                 self.in_flight -= 1
         # What is still buffered when the process ends is lost.
         while not (channel.flushed or channel.ended):
-            await asyncio.sleep(LEAVE_CHECK_S)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def _answer(self, request: Request, channel: Channel) -> None:
-        asked = self._wire.decode_watch_call(request)
+        asked = self._watch_codec.decode_watch_call(request)
         watch = None if asked is None else self._watches.find(asked.prefix, asked.after)
         if asked is None or watch is None:
-            await self._pass_on(request, channel)
+            await self._forward(request, channel)
             return
         try:
-            changes = await watch.ask(asked.after, asked.wait)
+            changes = await watch.wait_for_changes(asked.after, asked.wait)
         except StoreError:
             channel.write(UNAVAILABLE)
             return
-        channel.write(self._dump(changes, accepts_coding(request)))
+        channel.write(self._encode_cached(changes, accepts_coding(request)))
 
-    def _dump_watch(self, changes: WatchResult, coded: bool) -> bytes:
+    def _encode_watch_answer(self, changes: WatchResult, coded: bool) -> bytes:
         """Return the whole answer to a watch call."""
-        return _dump_answer(
-            HTTPStatus.OK, *self._wire.encode_result(changes), coded=coded
+        return _encode_answer(
+            HTTPStatus.OK, *self._watch_codec.encode_result(changes), coded=coded
         )
 
-    async def _pass_on(self, request: Request, channel: Channel) -> None:
-        deadline = asyncio.get_running_loop().time() + MOST_CALL_SECONDS
-        exchange = await self._take(deadline)
+    async def _forward(self, request: Request, channel: Channel) -> None:
+        deadline = asyncio.get_running_loop().time() + MAX_CALL_SECONDS
+        exchange = await self._acquire(deadline)
         start = f'{request.method} '.encode() + request.target + b' HTTP/1.1'
-        headers = drop_accepted(drop_connection_headers(request.headers))
+        headers = drop_accept_encoding(drop_connection_headers(request.headers))
         try:
             async with asyncio.timeout_at(deadline) as timer:
-                progress = _Progress(channel, timer)
+                progress = _ProgressReporter(channel, timer)
                 answer = await exchange.request(start, headers, request.body, progress)
         except BaseException:
             exchange.close()
             raise
-        if exchange.answered and exchange.reusable:
-            self._idle.append(exchange)
+        if exchange.keep_alive and exchange.reusable:
+            self._idle_connections.append(exchange)
         else:
             exchange.close()
-        ending = CLOSE if self._leaving else ()
+        ending = CLOSE if self._draining else ()
         kept = (*drop_connection_headers(answer.head.headers), *ending)
         coded = accepts_coding(request)
-        whole = _dump_answer(answer.head.status, kept, answer.body, coded=coded)
+        whole = _encode_answer(answer.head.status, kept, answer.body, coded=coded)
         channel.write(whole)
 
-    async def _take(self, deadline: float) -> HttpConnection:
-        while self._idle:
-            exchange = self._idle.pop()
+    async def _acquire(self, deadline: float) -> HttpConnection:
+        while self._idle_connections:
+            exchange = self._idle_connections.pop()
             if exchange.reusable:
                 return exchange
             exchange.close()
         return await open_http_connection(self._store_address, deadline)
 
 
-class _Progress:
+class _ProgressReporter:
     """Tells a router that the answer to its call is on its way.
 
     The whole answer is coded before it is sent, and the router would take the relay
@@ -239,25 +239,25 @@
             timer: What ends the call when its answer falls silent.
         """
         self._channel = channel
-        self._timer = timer
-        self._told_at = 0.0
-        self._until = 0.0
+        self._timeout = timer
+        self._reported_at = 0.0
+        self._deadline = 0.0
 
-    def take_head(self, head: AnswerHead) -> None:
+    def handle_head(self, head: AnswerHead) -> None:
         """Note that the answer has begun."""
-        self._told_at = asyncio.get_running_loop().time()
-        self._until = self._told_at + LONGEST_ANSWER_S
+        self._reported_at = asyncio.get_running_loop().time()
+        self._deadline = self._reported_at + MAX_ANSWER_SECONDS
 
-    def note_bytes(self, size: int) -> None:
+    def handle_bytes(self, size: int) -> None:
         """Note that so many bytes of the body came."""
         now = asyncio.get_running_loop().time()
-        self._timer.reschedule(min(now + LONGEST_SILENCE_S, self._until))
-        if now >= self._told_at + PROGRESS_PERIOD_S:
-            self._told_at = now
+        self._timeout.reschedule(min(now + MAX_SILENCE_SECONDS, self._deadline))
+        if now >= self._reported_at + PROGRESS_INTERVAL_SECONDS:
+            self._reported_at = now
             self._channel.write(PROCESSING)
 
 
-def _dump_answer(status: int, headers: Headers, body: bytes, *, coded: bool) -> bytes:
+def _encode_answer(status: int, headers: Headers, body: bytes, *, coded: bool) -> bytes:
     """Return a whole answer.
 
     Args:
--- a/packages/fleet/src/ibisport_fleet/store_call.py
+++ b/packages/fleet/src/ibisport_fleet/store_call.py
@@ -11,14 +11,14 @@
 
 # An answer that has begun may go on while its bytes come: a megabyte takes two seconds
 # on a narrow link, and is not there any sooner on a second way.
-LONGEST_SILENCE_S = 0.9
+MAX_SILENCE_SECONDS = 0.9
 # An answer whose bytes trickle is given up.
-LONGEST_ANSWER_S = 10.0
+MAX_ANSWER_SECONDS = 10.0
 # One that would take longer than this may come sooner on another way: the largest
 # catalogue takes less on the narrowest links.
-LONGEST_TRANSFER_S = 3.5
+MAX_TRANSFER_SECONDS = 3.5
 # The rate of an answer is judged after so long.
-LEAST_MEASURED_S = 0.25
+MIN_MEASURED_SECONDS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     on_bytes: Callable[[], None] | None = None
 
 
-class CallTry:
+class CallAttempt:
     """One try of a call on one way, and how far its answer has come.
 
     Attributes:
@@ -72,37 +72,37 @@
         """
         self.address = address
         self.call = call
-        self.heard_at: float | None = None
-        self.first_at: float | None = None
+        self.last_received_at: float | None = None
+        self.first_received_at: float | None = None
         self.length = 0
         self.received = 0
-        self._timer = asyncio.timeout_at(until)
+        self._timeout = asyncio.timeout_at(until)
 
     @property
-    def timer(self) -> asyncio.Timeout:
+    def timeout(self) -> asyncio.Timeout:
         """What ends the try when its answer falls silent."""
-        return self._timer
+        return self._timeout
 
     @property
-    def seconds(self) -> float:
+    def transfer_seconds(self) -> float:
         """Seconds from the first bytes of the answer to the last ones so far."""
-        if self.heard_at is None or self.first_at is None:
+        if self.last_received_at is None or self.first_received_at is None:
             return 0.0
-        return self.heard_at - self.first_at
+        return self.last_received_at - self.first_received_at
 
-    def take_head(self, head: AnswerHead) -> None:
+    def handle_head(self, head: AnswerHead) -> None:
         """Note the answer's head.
 
         Raises:
             ChangesTooLong: Its body is longer than the call allows.
         """
         self.length = head.length
-        self.note_bytes(0)
+        self.handle_bytes(0)
         most = self.call.max_bytes
         if most and head.length > most:
             raise ChangesTooLong(f'{head.length} bytes')
 
-    def note_bytes(self, size: int) -> None:
+    def handle_bytes(self, size: int) -> None:
         """Note that bytes came: the answer may take as long again.
 
         Args:
@@ -110,25 +110,25 @@
         """
         self.received += size
         now = asyncio.get_running_loop().time()
-        self.heard_at = now
-        self.first_at = self.first_at or now
-        longest = self.first_at + LONGEST_ANSWER_S
-        self._timer.reschedule(min(now + LONGEST_SILENCE_S, longest))
+        self.last_received_at = now
+        self.first_received_at = self.first_received_at or now
+        longest = self.first_received_at + MAX_ANSWER_SECONDS
+        self._timeout.reschedule(min(now + MAX_SILENCE_SECONDS, longest))
         if self.call.on_bytes is not None:
             self.call.on_bytes()
 
     def is_silent(self, seconds: float) -> bool:
         """Whether nothing came for so long."""
-        if self.heard_at is None:
+        if self.last_received_at is None:
             return True
-        return asyncio.get_running_loop().time() - self.heard_at >= seconds
+        return asyncio.get_running_loop().time() - self.last_received_at >= seconds
 
     def is_slow(self) -> bool:
         """Whether the answer, at the rate so far, takes too long on this way."""
-        if self.first_at is None:
+        if self.first_received_at is None:
             return False
-        passed = asyncio.get_running_loop().time() - self.first_at
-        if passed < LEAST_MEASURED_S:
+        passed = asyncio.get_running_loop().time() - self.first_received_at
+        if passed < MIN_MEASURED_SECONDS:
             return False
         whole = passed * self.length / max(self.received, 1)
-        return max(whole, passed) > LONGEST_TRANSFER_S
+        return max(whole, passed) > MAX_TRANSFER_SECONDS
--- a/packages/fleet/src/ibisport_fleet/store_paths.py
+++ b/packages/fleet/src/ibisport_fleet/store_paths.py
@@ -11,14 +11,14 @@
 from ibisport_fleet.addresses import Address
 
 # A way that failed is tried last for so long.
-AVOID_SECONDS = 2.0
+FAILED_PATH_BACKOFF_SECONDS = 2.0
 # A relay that failed isn't asked for shared watches for so long: while it is silent,
 # each costs its whole time-out.
-UNSHARED_SECONDS = 10.0
+SHARED_BACKOFF_SECONDS = 10.0
 # A host on which no relay listens is tried ever more rarely, up to so many doublings.
-MOST_DOUBLINGS = 6
+MAX_BACKOFF_DOUBLINGS = 6
 # Ways that one call may take before it is given up.
-MOST_WAYS = 3
+MAX_PATHS = 3
 
 
 class CallKind(Enum):
@@ -65,14 +65,14 @@
     ) -> None:
         self.direct = straight
         self.direct_works = True
-        self.on_straight_lost: Callable[[], None] | None = None
+        self.on_direct_lost: Callable[[], None] | None = None
         self.attempt_counts: Counter[tuple[CallKind, bool]] = Counter()
         self._domain = domain
         self._list_relays = list_relays
-        self._avoided_until: dict[Address, float] = {}
-        self._unshared_until: dict[Address, float] = {}
-        self._refusals: Counter[Address] = Counter()
-        self._working: Address | None = None
+        self._backoff_until: dict[Address, float] = {}
+        self._shared_backoff_until: dict[Address, float] = {}
+        self._missing_counts: Counter[Address] = Counter()
+        self._working_relay: Address | None = None
 
     def list_shared_paths(self, prefix: str, now: float) -> list[Address]:
         """Return the addresses to try for a watch that routers share, best first.
@@ -88,64 +88,68 @@
             place.address
             for place in self._list_relays()
             if place.domain == self._domain
-            and self._unshared_until.get(place.address, 0.0) <= now
+            and self._shared_backoff_until.get(place.address, 0.0) <= now
         ]
-        usual = self.list_ways(now)
+        usual = self.list_paths(now)
         if not usable:
             return usual
-        first = min(usable, key=lambda one: _draw(f'{prefix}|{one}'))
-        return [first, *(one for one in usual if one != first)][:MOST_WAYS]
+        first = min(usable, key=lambda one: _hash_text(f'{prefix}|{one}'))
+        return [first, *(one for one in usual if one != first)][:MAX_PATHS]
 
-    def list_ways(self, now: float) -> list[Address]:
+    def list_paths(self, now: float) -> list[Address]:
         """Return the addresses to try for one call, best first."""
         relays = self._rank_relays(now)
         if self.direct_works:
-            return [self.direct, *relays][:MOST_WAYS]
+            return [self.direct, *relays][:MAX_PATHS]
         # A last try straight, in case the relays are what is broken.
-        return [*relays[: MOST_WAYS - 1], self.direct]
+        return [*relays[: MAX_PATHS - 1], self.direct]
 
-    def note_sent(self, kind: CallKind, address: Address) -> None:
+    def count_attempt(self, kind: CallKind, address: Address) -> None:
         """Count a try of a call on a way."""
         self.attempt_counts[kind, address == self.direct] += 1
 
     def record_answer(self, address: Address) -> None:
         """Note that a call was answered on a way."""
-        self._avoided_until.pop(address, None)
-        self._refusals.pop(address, None)
+        self._backoff_until.pop(address, None)
+        self._missing_counts.pop(address, None)
         if address == self.direct:
             self.direct_works = True
         else:
-            self._working = address
+            self._working_relay = address
 
-    def note_unshared(self, address: Address, now: float) -> None:
+    def record_shared_failure(self, address: Address, now: float) -> None:
         """Note that a shared watch failed on a way, and then not on another one."""
-        self._unshared_until[address] = now + UNSHARED_SECONDS
+        self._shared_backoff_until[address] = now + SHARED_BACKOFF_SECONDS
 
-    def note_vacant(self, address: Address, now: float) -> None:
+    def record_missing_relay(self, address: Address, now: float) -> None:
         """Note that no relay listens at an address."""
-        doublings = min(self._refusals[address], MOST_DOUBLINGS)
-        self._refusals[address] += 1
-        self._unshared_until[address] = now + 2**doublings * UNSHARED_SECONDS
+        doublings = min(self._missing_counts[address], MAX_BACKOFF_DOUBLINGS)
+        self._missing_counts[address] += 1
+        self._shared_backoff_until[address] = (
+            now + 2**doublings * SHARED_BACKOFF_SECONDS
+        )
 
-    def note_failure(self, address: Address, now: float) -> None:
+    def record_failure(self, address: Address, now: float) -> None:
         """Note that a call failed on a way."""
-        self._avoided_until[address] = now + AVOID_SECONDS
-        if address == self._working:
-            self._working = None
+        self._backoff_until[address] = now + FAILED_PATH_BACKOFF_SECONDS
+        if address == self._working_relay:
+            self._working_relay = None
         if address == self.direct and self.direct_works:
             self.direct_works = False
-            if self.on_straight_lost is not None:
-                self.on_straight_lost()
+            if self.on_direct_lost is not None:
+                self.on_direct_lost()
 
     def _rank_relays(self, now: float) -> list[Address]:
         places = {place.address: place.domain for place in self._list_relays()}
         shuffled = random.sample(list(places), len(places))
-        return sorted(shuffled, key=lambda one: self._weigh(one, places[one], now))
+        return sorted(shuffled, key=lambda one: self._build_rank(one, places[one], now))
 
-    def _weigh(self, address: Address, domain: str, now: float) -> tuple[bool, ...]:
-        avoided = self._avoided_until.get(address, 0) > now
-        return (avoided, address != self._working, domain != self._domain)
+    def _build_rank(
+        self, address: Address, domain: str, now: float
+    ) -> tuple[bool, ...]:
+        avoided = self._backoff_until.get(address, 0) > now
+        return (avoided, address != self._working_relay, domain != self._domain)
 
 
-def _draw(text: str) -> int:
+def _hash_text(text: str) -> int:
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/watch_cache.py
+++ b/packages/fleet/src/ibisport_fleet/watch_cache.py
@@ -11,13 +11,13 @@
 from ibisport_fleet.errors import StoreError, StoreUnavailable
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.store import Change, Item, Store, WatchOptions, WatchResult
-from ibisport_fleet.watch_schedule import WatchSchedule, plan_upstream
+from ibisport_fleet.watch_schedule import WatchSchedule, plan_relay_watch
 
 # What is kept for routers that lag; who lags further is passed on to the store.
-MOST_KEPT_BYTES = 4_194_304
-MOST_KEPT_CHANGES = 2_000
+MAX_KEPT_BYTES = 4_194_304
+MAX_KEPT_CHANGES = 2_000
 # Routers follow a few prefixes; what asks for more is no router.
-MOST_PREFIXES = 8
+MAX_PREFIXES = 8
 
 
 class SharedWatch:
@@ -38,19 +38,19 @@
         loop = asyncio.get_running_loop()
         self._store = store
         self._prefix = prefix
-        self._pace = pace
+        self._schedule = pace
         self._log = log
         self._kept: deque[Change] = deque()
         self._kept_bytes = 0
         self._kept_after = after
-        self._head = after
-        self._heard_at = loop.time()
-        self._asked_at = loop.time()
+        self._revision = after
+        self._last_answer_at = loop.time()
+        self._last_request_at = loop.time()
         # Loop time by which the answer that is on its way must be whole.
-        self._answer_until = 0.0
+        self._answer_deadline = 0.0
         self._waiting = 0
         self._failure: StoreError | None = None
-        self._news = asyncio.Event()
+        self._updated = asyncio.Event()
         self._task = loop.create_task(self._run())
 
     @property
@@ -59,15 +59,15 @@
         return self._failure is not None
 
     @property
-    def _idle_at(self) -> float:
+    def _unused_at(self) -> float:
         """Loop time from which nobody seems to ask any more."""
-        return self._asked_at + self._pace.silent_after
+        return self._last_request_at + self._schedule.timeout_seconds
 
     def covers(self, after: int) -> bool:
         """Whether all changes after a revision are kept."""
         return after >= self._kept_after
 
-    async def ask(self, after: int, wait: float) -> WatchResult:
+    async def wait_for_changes(self, after: int, wait: float) -> WatchResult:
         """Return the changes after a revision, as the store's own watch does.
 
         An answer without changes is given only if the store has answered meanwhile:
@@ -76,30 +76,32 @@
         Raises:
             StoreUnavailable: The store doesn't answer.
         """
-        self._asked_at = asyncio.get_running_loop().time()
+        self._last_request_at = asyncio.get_running_loop().time()
         self._waiting += 1
         try:
-            return await self._find_next(after, self._asked_at, wait)
+            return await self._wait_for_changes(after, self._last_request_at, wait)
         finally:
             self._waiting -= 1
 
-    async def _find_next(self, after: int, asked_at: float, wait: float) -> WatchResult:
+    async def _wait_for_changes(
+        self, after: int, asked_at: float, wait: float
+    ) -> WatchResult:
         loop = asyncio.get_running_loop()
         until = asked_at + wait
         while True:
             changes = tuple(one for one in self._kept if one.revision > after)
             if changes:
-                return WatchResult(changes, max(after, self._head))
+                return WatchResult(changes, max(after, self._revision))
             if self._failure is not None:
                 raise StoreUnavailable(repr(self._failure))
             due = loop.time() >= until
-            if due and self._heard_at >= asked_at:
-                return WatchResult((), max(after, self._head))
+            if due and self._last_answer_at >= asked_at:
+                return WatchResult((), max(after, self._revision))
             # The next answer of the store, or its failure, is bounded in time.
-            await self._wait_for_news(None if due else until)
+            await self._wait_for_update(None if due else until)
 
-    async def _wait_for_news(self, until: float | None) -> None:
-        news = self._news
+    async def _wait_for_update(self, until: float | None) -> None:
+        news = self._updated
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(until):
                 await news.wait()
@@ -111,63 +113,67 @@
         )
         try:
             # A prefix that nobody asks for any more isn't watched.
-            while self._waiting or loop.time() < self._idle_at:
-                await self._take_next()
+            while self._waiting or loop.time() < self._unused_at:
+                await self._watch_once()
             self._failure = StoreUnavailable('nobody asked')
         except (StoreError, TimeoutError) as error:
             self._failure = StoreUnavailable(repr(error))
         finally:
             # Whatever ended it, nobody may wait for what doesn't come.
             self._failure = self._failure or StoreUnavailable('the watch has ended')
-            self._tell()
+            self._notify_waiters()
             self._log.write(
                 Event.watch_ended,
                 prefix=self._prefix,
-                revision=self._head,
+                revision=self._revision,
                 waiting=self._waiting,
                 reason=repr(self._failure),
             )
 
-    async def _take_next(self) -> None:
+    async def _watch_once(self) -> None:
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        async with asyncio.timeout_at(begun + self._pace.silent_after) as timer:
-            self._answer_until = 0.0
+        async with asyncio.timeout_at(begun + self._schedule.timeout_seconds) as timer:
+            self._answer_deadline = 0.0
             terms = WatchOptions(
-                self._pace.wait, on_bytes=lambda: self._note_bytes(timer)
+                self._schedule.wait, on_bytes=lambda: self._extend_timeout(timer)
             )
-            found = await self._store.watch(self._prefix, self._head, terms)
+            found = await self._store.watch(self._prefix, self._revision, terms)
         for change in found.changes:
-            self._keep(change)
-        self._head = max(self._head, found.revision)
-        self._heard_at = loop.time()
-        self._tell()
+            self._append(change)
+        self._revision = max(self._revision, found.revision)
+        self._last_answer_at = loop.time()
+        self._notify_waiters()
         if found.changes:
             # Changes that follow each other closely come together.
-            await asyncio.sleep(begun + self._pace.gap - loop.time())
+            await asyncio.sleep(begun + self._schedule.min_interval - loop.time())
 
-    def _note_bytes(self, timer: asyncio.Timeout) -> None:
+    def _extend_timeout(self, timer: asyncio.Timeout) -> None:
         """Note that an answer is on its way: a large change may take its time.
 
         Args:
             timer: What gives the answer up.
         """
         now = asyncio.get_running_loop().time()
-        self._heard_at = now
-        self._answer_until = self._answer_until or now + self._pace.longest_answer
+        self._last_answer_at = now
+        self._answer_deadline = (
+            self._answer_deadline or now + self._schedule.max_answer_seconds
+        )
         if not timer.expired():
-            timer.reschedule(min(now + self._pace.silent_after, self._answer_until))
+            timer.reschedule(
+                min(now + self._schedule.timeout_seconds, self._answer_deadline)
+            )
 
-    def _keep(self, change: Change) -> None:
+    def _append(self, change: Change) -> None:
         self._kept.append(change)
-        self._kept_bytes += _measure(change)
-        while self._kept_bytes > MOST_KEPT_BYTES or len(self._kept) > MOST_KEPT_CHANGES:
+        self._kept_bytes += _count_bytes(change)
+        while self._kept_bytes > MAX_KEPT_BYTES or len(self._kept) > MAX_KEPT_CHANGES:
             dropped = self._kept.popleft()
-            self._kept_bytes -= _measure(dropped)
+            self._kept_bytes -= _count_bytes(dropped)
             self._kept_after = max(self._kept_after, dropped.revision)
 
-    def _tell(self) -> None:
-        news, self._news = self._news, asyncio.Event()
+    def _notify_waiters(self) -> None:
+        news, self._updated = self._updated, asyncio.Event()
         news.set()
 
 
@@ -183,7 +189,7 @@
             log: Where the begin and the end of each watch are written.
         """
         self._store = store
-        self._pace = plan_upstream(change_bound)
+        self._schedule = plan_relay_watch(change_bound)
         self._log = log
         self._watches: dict[str, SharedWatch] = {}
 
@@ -197,12 +203,12 @@
         }
         found = self._watches.get(prefix)
         if found is None:
-            if len(self._watches) >= MOST_PREFIXES:
+            if len(self._watches) >= MAX_PREFIXES:
                 return None
-            found = SharedWatch(self._store, prefix, after, self._pace, self._log)
+            found = SharedWatch(self._store, prefix, after, self._schedule, self._log)
             self._watches[prefix] = found
         return found if found.covers(after) else None
 
 
-def _measure(change: Change) -> int:
+def _count_bytes(change: Change) -> int:
     return len(change.content) if isinstance(change, Item) else 0
--- a/packages/fleet/src/ibisport_fleet/watch_schedule.py
+++ b/packages/fleet/src/ibisport_fleet/watch_schedule.py
@@ -9,21 +9,21 @@
 # A relay asks the store so often within the time after which a change must be in
 # force; it is given up when an answer is late by 0.6 of such a wait. So a relay
 # that is cut off is noticed before half of that time has passed.
-WAITS_A_BOUND = 4
-SILENCE_FACTOR = 1.6
+WAITS_PER_PROPAGATION_DELAY = 4
+TIMEOUT_FACTOR = 1.6
 # An answer that is on its way to a relay may take so many waits from its first byte on.
 # Beyond half of the bound, its routers are better off asking the store themselves.
-WAITS_AN_ANSWER = 2
+WAITS_PER_ANSWER = 2
 # Changes that follow within this part of the bound come together, at a relay and at a
 # router.
-RELAY_GAP_PART = 1 / 16
-ROUTER_GAP_PART = 1 / 8
+RELAY_INTERVAL_FRACTION = 1 / 16
+ROUTER_INTERVAL_FRACTION = 1 / 8
 # With fewer routers a domain a relay would ask the store more often than they do.
-LEAST_SHARERS = 3
+MIN_ROUTERS_PER_DOMAIN = 3
 # A watch that waits longer could sit on a silent connection beyond the time in
 # which a change must be in force (2 s): wait and time-out together stay below
 # the 3 s that count as an outage.
-STRAIGHT_WAIT_S = 1.5
+DIRECT_WAIT_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,27 +37,30 @@
     """
 
     wait: float
-    gap: float
+    min_interval: float
     shared: bool = False
 
     @property
-    def silent_after(self) -> float:
+    def timeout_seconds(self) -> float:
         """Seconds after which a watch without an answer is given up."""
-        return SILENCE_FACTOR * self.wait
+        return TIMEOUT_FACTOR * self.wait
 
     @property
-    def longest_answer(self) -> float:
+    def max_answer_seconds(self) -> float:
         """Longest time from the first byte of an answer to its last, seconds."""
-        return WAITS_AN_ANSWER * self.wait
+        return WAITS_PER_ANSWER * self.wait
 
 
-def plan_upstream(change_bound: float) -> WatchSchedule:
+def plan_relay_watch(change_bound: float) -> WatchSchedule:
     """Return how a relay watches for the routers that ask it.
 
     Args:
         change_bound: Longest time after which a change must be in force, seconds.
     """
-    return WatchSchedule(change_bound / WAITS_A_BOUND, RELAY_GAP_PART * change_bound)
+    return WatchSchedule(
+        change_bound / WAITS_PER_PROPAGATION_DELAY,
+        RELAY_INTERVAL_FRACTION * change_bound,
+    )
 
 
 def plan_router_watch(
@@ -73,8 +76,8 @@
         domains: Failure domains in which relays are known.
         change_bound: Longest time after which a change must be in force, seconds.
     """
-    gap = ROUTER_GAP_PART * change_bound
-    if routers is not None and routers < LEAST_SHARERS * max(domains, 1):
-        return WatchSchedule(STRAIGHT_WAIT_S, gap)
+    gap = ROUTER_INTERVAL_FRACTION * change_bound
+    if routers is not None and routers < MIN_ROUTERS_PER_DOMAIN * max(domains, 1):
+        return WatchSchedule(DIRECT_WAIT_SECONDS, gap)
     # No relay may be known yet, so the gap holds here too.
-    return WatchSchedule(change_bound / WAITS_A_BOUND, gap, shared=True)
+    return WatchSchedule(change_bound / WAITS_PER_PROPAGATION_DELAY, gap, shared=True)
