--- a/features/steps/applying_steps.py
+++ b/features/steps/applying_steps.py
@@ -1,4 +1,4 @@
-"""Steps on large changes of the catalogue, and how soon they are in force."""
+"""Steps on large catalogue changes and how soon they reach the routers."""
 
 import asyncio
 import itertools
@@ -23,25 +23,25 @@
 ROUTER_COUNT = 12
 RELAY_COUNT = 2
 LETTERS = 'abcdefghijklmnopqrstuvwxyz0123456789'
-# Revisions of a replica's listings, one after another.
+# Revisions of consecutive listings of the replica.
 LISTED_REVISIONS = (9, 4, 4, 12)
 KINDS = ('idempotent', 'non_idempotent', 'streaming')
 
 
 def make_catalogue(version, routes):
-    """Return a version of a catalogue as long as one with so many routes is."""
+    """Return a version of a catalogue with this many routes."""
     rng = random.Random(version)
 
-    def draw():
+    def draw_name():
         return ''.join(rng.choices(LETTERS, k=7))
 
-    listed = [
+    entries = [
         {
-            'name': f'r-{draw()}',
-            'host': f'{draw()}.example',
-            'path': f'/{draw()}/',
+            'name': f'r-{draw_name()}',
+            'host': f'{draw_name()}.example',
+            'path': f'/{draw_name()}/',
             'kind': rng.choice(KINDS),
-            'service': draw(),
+            'service': draw_name(),
             'maxAttempts': 2,
             'timeoutMs': rng.randrange(1_000, 9_000),
             'targetLatencyMs': rng.randrange(100, 900),
@@ -49,63 +49,63 @@
         }
         for _ in range(routes)
     ]
-    return json.dumps({'version': version, 'routes': listed}).encode()
+    return json.dumps({'version': version, 'routes': entries}).encode()
 
 
 def _run_domain(context, act):
-    async def play(net):
+    async def run(net):
         domain = FailureDomain(
             net, ROUTER_COUNT, RELAY_COUNT, CATALOGUE_PREFIX, MAX_PROPAGATION_SECONDS
         )
         context.domain = domain
         domain.service.put(CATALOGUE_KEY, make_catalogue(1, context.routes))
         await domain.open()
-        for ends, rate in context.rates.items():
-            source, destination = ends
-            asked = domain.find_preferred_relay()
+        for hosts, rate in context.rates.items():
+            source, destination = hosts
+            relay = domain.find_preferred_relay()
             net.links[
-                _resolve_host(source, asked), _resolve_host(destination, asked)
+                _resolve_host(source, relay), _resolve_host(destination, relay)
             ] = Link(rate=rate)
         if context.cut:
-            domain.silence(context.cut, ['store'])
+            domain.drop_traffic(context.cut, ['store'])
         context.settled_at = net.time()
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await act(domain)
             await asyncio.sleep(2 * MAX_PROPAGATION_SECONDS)
 
-    run_on_net(play)
+    run_on_net(run)
 
 
-def _resolve_host(host, asked):
-    return asked if host == 'relay' else host
+def _resolve_host(host, preferred_relay):
+    return preferred_relay if host == 'relay' else host
 
 
-@given('routers and relays that follow a catalogue of {routes:d} routes')
+@given('routers and relays that watch a catalogue of {routes:d} routes')
 def plan(context, routes):
     context.routes, context.rates, context.cut = routes, {}, ''
 
 
-@given('the relay that they ask takes {rate:d} bytes a second from the store')
+@given('their preferred relay receives {rate:d} bytes per second from the store')
 def slow_relay(context, rate):
     context.rates['store', 'relay'] = rate
 
 
-@given('one router gets {rate:d} bytes a second from the relay')
+@given('one router receives {rate:d} bytes per second from the relay')
 def slow_router(context, rate):
     context.rates['relay', 'router-0'] = rate
 
 
-@given('all relays take {rate:d} bytes a second from the store')
+@given('all relays receive {rate:d} bytes per second from the store')
 def slow_relays(context, rate):
     context.rates.update(
-        {('store', f'relay-{one}'): rate for one in range(RELAY_COUNT)}
+        {('store', f'relay-{number}'): rate for number in range(RELAY_COUNT)}
     )
 
 
-@given('all routers get {rate:d} bytes a second from the store and the relays')
+@given('all routers receive {rate:d} bytes per second from the store and the relays')
 def slow_routers(context, rate):
-    sources = ['store', *(f'relay-{one}' for one in range(RELAY_COUNT))]
-    routers = [f'router-{one}' for one in range(ROUTER_COUNT)]
+    sources = ['store', *(f'relay-{number}' for number in range(RELAY_COUNT))]
+    routers = [f'router-{number}' for number in range(ROUTER_COUNT)]
     context.rates.update(dict.fromkeys(itertools.product(sources, routers), rate))
 
 
@@ -114,7 +114,7 @@
     context.cut = 'router-new'
 
 
-@given('a new router gets {rate:d} bytes a second from the store')
+@given('a new router receives {rate:d} bytes per second from the store')
 def slow_start(context, rate):
     context.rates['store', 'router-new'] = rate
 
@@ -130,10 +130,13 @@
     _run_domain(context, act)
 
 
-@when('it grows to {routes:d} routes as the relay that they ask loses the store')
+@when(
+    'it grows to {routes:d} routes while their preferred relay is cut off '
+    'from the store'
+)
 def grow_behind_cut(context, routes):
     async def act(domain):
-        domain.silence(domain.find_preferred_relay(), ['store'])
+        domain.drop_traffic(domain.find_preferred_relay(), ['store'])
         domain.service.put(CATALOGUE_KEY, make_catalogue(2, routes))
         context.changed_at = domain.now
 
@@ -153,14 +156,14 @@
 def check_in_time(context, bound):
     newest = context.domain.service.items[CATALOGUE_KEY].revision
     late = {
-        host: heard.find_seen_at(newest) - context.changed_at
-        for host, heard in context.domain.routers.items()
-        if heard.find_seen_at(newest) - context.changed_at > bound
+        host: subscriber.find_seen_at(newest) - context.changed_at
+        for host, subscriber in context.domain.routers.items()
+        if subscriber.find_seen_at(newest) - context.changed_at > bound
     }
     assert not late, late
 
 
-@then('no router has listed it at the store')
+@then('no router listed it at the store')
 def check_listings(context):
     listed = [
         when for when in context.domain.store.listed_at if when > context.settled_at
@@ -169,39 +172,39 @@
 
 
 class LaggingStore:
-    """A store that is read through a replica which falls behind."""
+    """A store whose listings come from a lagging replica."""
 
     def __init__(self):
         self._listings = iter(LISTED_REVISIONS)
         self.listed = asyncio.Event()
 
     async def scan(self, prefix, *, shared):
-        """Return a listing; the second and the third are of an older revision."""
+        """Return a listing; the second and the third have an older revision."""
         revision = next(self._listings, 0)
         if not revision:
             self.listed.set()
             await asyncio.sleep(TEST_TIMEOUT_SECONDS)
         return Listing((Item('op/key', b'%d' % revision, revision),), revision)
 
-    async def watch(self, prefix, after, terms):
-        """End each watch, so that all is listed anew."""
+    async def watch(self, prefix, after, options):
+        """Fail each watch, so that the prefix is listed again."""
         raise HistoryLost(prefix)
 
 
-@given('a store whose listings come from a replica that falls behind')
+@given('a store whose listings come from a lagging replica')
 def open_lagging(context):
     context.open_store = LaggingStore
 
 
-@when('a router lists the catalogue again and again')
+@when('a router lists the catalogue repeatedly')
 def list_again(context):
-    async def play():
-        store, context.heard = context.open_store(), RecordingSubscriber()
+    async def run():
+        store, context.subscriber = context.open_store(), RecordingSubscriber()
         contact = StoreContact(0.0)
         watch = PrefixWatch(
             store,
             CATALOGUE_PREFIX,
-            context.heard,
+            context.subscriber,
             open_null_log(),
             contact,
             lambda: plan_router_watch(1, 1, MAX_PROPAGATION_SECONDS),
@@ -210,17 +213,17 @@
         await store.listed.wait()
         task.cancel()
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@then('it never takes an older revision than it had')
+@then('it never applies an older revision than it had')
 def check_order(context):
-    taken = [revision for _, revision in context.heard.revisions]
-    assert taken == sorted(taken), taken
+    applied = [revision for _, revision in context.subscriber.revisions]
+    assert applied == sorted(applied), applied
 
 
-@then('it takes the newer one')
+@then('it applies the newer revision')
 def check_newest(context):
-    assert context.heard.revisions[-1][1] == max(LISTED_REVISIONS), (
-        context.heard.revisions
+    assert context.subscriber.revisions[-1][1] == max(LISTED_REVISIONS), (
+        context.subscriber.revisions
     )
--- a/features/steps/contentcoding_steps.py
+++ b/features/steps/contentcoding_steps.py
@@ -1,4 +1,4 @@
-"""Steps on coded answers of relays."""
+"""Steps on compressed answers of relays."""
 
 import asyncio
 import base64
@@ -25,7 +25,7 @@
 
 
 def build_answer(body):
-    """Return an answer with a coded body."""
+    """Return an answer with a compressed body."""
     headers = ((b'content-encoding', b'deflate'),)
     return Answer(AnswerHead(200, headers, keeps_open=True, framed=True), body)
 
@@ -37,7 +37,7 @@
 
 @when('a router that accepts {accepted} sends a {call} call')
 def ask(context, accepted, call):
-    async def play(net):
+    async def run(net):
         domain = FailureDomain(net, 0, 1, CATALOGUE_PREFIX)
         domain.service.put(CATALOGUE_KEY, context.content)
         await domain.open()
@@ -46,17 +46,17 @@
     async def send(domain):
         address = next(iter(domain.relays.values())), PEER_PORT
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
-            exchange = await open_http_connection(
+            connection = await open_http_connection(
                 address, domain.now + TEST_TIMEOUT_SECONDS
             )
             headers = ACCEPT_HEADERS if accepted == 'deflate' else ()
-            return await exchange.request(REQUEST_LINES[call], headers, b'')
+            return await connection.request(REQUEST_LINES[call], headers, b'')
 
     context.call = call
-    context.answer = run_on_net(play)
+    context.answer = run_on_net(run)
 
 
-@then('the body as sent has its whole length')
+@then('the body as sent has its full length')
 def check_plain(context):
     assert context.answer.head.find(b'content-encoding') is None
     assert len(context.answer.body) > len(context.content)
@@ -67,23 +67,23 @@
     assert 3 * len(context.answer.body) <= len(context.content)
 
 
-@then('it reads the whole catalogue from it')
+@then('it decodes the complete catalogue')
 def check_content(context):
     found = msgspec.json.decode(decode_body(context.answer, MAX_BODY_BYTES))
-    values = [one['value'] for one in found[LIST_FIELDS[context.call]]]
-    assert [base64.b64decode(one) for one in values] == [context.content]
+    values = [entry['value'] for entry in found[LIST_FIELDS[context.call]]]
+    assert [base64.b64decode(value) for value in values] == [context.content]
 
 
-@when('a coded body of {size:d} bytes {arrives}')
-def arrive(context, size, arrives):
+@when('a compressed body of {size:d} bytes {fault}')
+def receive_body(context, size, fault):
     body = zlib.compress(make_catalogue(1, size // 190))
     middle = len(body) // 2
-    match arrives:
-        case 'ends early':
+    match fault:
+        case 'is truncated':
             body = body[:-1]
-        case 'has other bytes within':
+        case 'is corrupted':
             body = body[:middle] + bytes(100) + body[middle + 100 :]
-        case 'is longer than a body may be':
+        case 'exceeds the maximum size':
             body = zlib.compress(bytes(MAX_BODY_BYTES + 1))
     context.answer = build_answer(body)
 
@@ -94,4 +94,4 @@
         decode_body(context.answer, MAX_BODY_BYTES)
     except AnswerInvalid:
         return
-    raise AssertionError('it was decoded')
+    raise AssertionError('the body was decoded')
--- a/features/steps/followers.py
+++ b/features/steps/followers.py
@@ -1,4 +1,4 @@
-"""What steps on watches of the store share: logs and a follower."""
+"""Logs and a subscriber that several steps use."""
 
 import json
 import os
@@ -7,35 +7,35 @@
 
 
 def open_null_log():
-    """Return a log that nobody reads."""
+    """Return a log that discards its events."""
     return EventLog(os.open(os.devnull, os.O_WRONLY))
 
 
 class ReadableLog(EventLog):
-    """A log whose events can be read."""
+    """A log whose events can be read back."""
 
     def __init__(self):
         self._file = os.memfd_create('log')
         super().__init__(self._file)
 
     def list_events(self, event):
-        """Return the details of all events of a kind."""
+        """Return the records of all events of a kind."""
         content = os.pread(self._file, os.fstat(self._file).st_size, 0)
         records = [json.loads(line) for line in content.splitlines()]
-        return [one for one in records if one['event'] == event]
+        return [record for record in records if record['event'] == event]
 
 
 class NewestContent:
-    """Follows one key and keeps its newest content."""
+    """A subscriber that keeps the newest content of a single key."""
 
     def __init__(self):
         self.content = b''
 
     def apply_listing(self, listing, doubtful_until):
-        """Take the key out of a listing."""
+        """Keep the content from a listing."""
         for item in listing.items:
             self.content = item.content
 
     def apply_change(self, change, doubtful_until):
-        """Take a new version of the key."""
+        """Keep the content of a new version."""
         self.content = change.content
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on watches that routers of a domain share at a relay."""
+"""Steps on watches that the routers of a failure domain share at a relay."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 def _run_domain(context, act):
-    async def play(net):
+    async def run(net):
         context.domain = FailureDomain(net, context.count, context.relays)
         await context.domain.open()
         context.settled_at = net.time()
@@ -25,15 +25,15 @@
             await act(context.domain)
             await asyncio.sleep(MAX_PROPAGATION_SECONDS + 0.5)
 
-    run_on_net(play)
+    run_on_net(run)
 
 
-@given('{routers:d} routers of a domain with {relays:d} relays')
+@given('{routers:d} routers of a failure domain with {relays:d} relays')
 def plan_domain(context, routers, relays):
     context.count, context.relays = routers, relays
 
 
-@when('{count:d} changes come within {seconds:d} seconds')
+@when('{count:d} changes are written within {seconds:d} seconds')
 def change(context, count, seconds):
     async def act(domain):
         if getattr(context, 'before', None):
@@ -52,16 +52,16 @@
     '{count:d} hosts without a relay are listed and nothing changes '
     'for {seconds:d} seconds'
 )
-def list_vacant(context, count, seconds):
+def list_hosts_without_relay(context, count, seconds):
     async def act(domain):
-        domain.hosts_without_relay = [f'10.0.2.{one}' for one in range(count)]
+        domain.hosts_without_relay = [f'10.0.2.{number}' for number in range(count)]
         await asyncio.sleep(seconds)
 
     _run_domain(context, act)
 
 
 @when(
-    'the store takes {answer:g} seconds for an answer and nothing changes '
+    'the store answers after {answer:g} seconds and nothing changes '
     'for {seconds:d} seconds'
 )
 def slow_store(context, answer, seconds):
@@ -76,63 +76,63 @@
     return ['store', *domain.routers]
 
 
-def _inject_fault(domain, fails):
-    asked, routers = domain.find_preferred_relay(), list(domain.routers)
-    match fails:
-        case 'dies':
-            domain.net.kill(asked)
-        case 'falls silent':
-            domain.silence(asked, _list_hosts(domain))
+def _inject_fault(domain, fault):
+    relay, routers = domain.find_preferred_relay(), list(domain.routers)
+    match fault:
+        case 'crashes':
+            domain.net.kill(relay)
+        case 'stops responding':
+            domain.drop_traffic(relay, _list_hosts(domain))
         case 'is cut off from the store':
-            domain.silence(asked, ['store'])
+            domain.drop_traffic(relay, ['store'])
         case 'is cut off from half of the routers':
-            domain.silence(asked, routers[: len(routers) // 2])
-        case 'dies with all relays of its domain':
+            domain.drop_traffic(relay, routers[: len(routers) // 2])
+        case 'crashes with all relays of its domain':
             for host in domain.relays:
                 domain.net.kill(host)
-        case 'falls silent with all of its domain':
+        case 'stops responding with all relays of its domain':
             for host in domain.relays:
-                domain.silence(host, _list_hosts(domain))
+                domain.drop_traffic(host, _list_hosts(domain))
 
 
 @when(
-    'the relay that they ask {fails} while {count:d} changes come '
+    'their preferred relay {fault} while {count:d} changes are written '
     'within {seconds:d} seconds'
 )
-def fail_while_changing(context, fails, count, seconds):
+def fail_while_changing(context, fault, count, seconds):
     async def act(domain):
         changing = asyncio.create_task(domain.change(count, seconds))
         await asyncio.sleep(seconds / 4)
-        _inject_fault(domain, fails)
+        _inject_fault(domain, fault)
         await changing
 
     _run_domain(context, act)
 
 
-@when('the relay that they ask is cut off from the store for {seconds:d} seconds')
+@when('their preferred relay is cut off from the store for {seconds:d} seconds')
 def cut_for_a_while(context, seconds):
     async def before(domain):
-        domain.silence(domain.find_preferred_relay(), ['store'])
+        domain.drop_traffic(domain.find_preferred_relay(), ['store'])
         domain.net.call_later(seconds, domain.restore_links)
 
     context.before = before
 
 
 @when(
-    'one router is cut off from the store while {count:d} changes come '
+    'one router is cut off from the store while {count:d} changes are written '
     'within {seconds:d} seconds'
 )
 def cut_router(context, count, seconds):
     async def act(domain):
         changing = asyncio.create_task(domain.change(count, seconds))
         await asyncio.sleep(seconds / 4)
-        domain.silence('router-0', ['store'])
+        domain.drop_traffic('router-0', ['store'])
         await changing
 
     _run_domain(context, act)
 
 
-@when('the store is away for {seconds:d} seconds and a router starts meanwhile')
+@when('the store is down for {seconds:d} seconds and a router starts meanwhile')
 def start_in_outage(context, seconds):
     async def act(domain):
         domain.service.faults.down = True
@@ -145,30 +145,29 @@
     _run_domain(context, act)
 
 
-@then('each router knows each of them within 2 seconds')
-@then("each router knows the newest change 2 seconds after the store's return")
+@then('each router receives each of them within 2 seconds')
+@then('each router receives the newest change within 2 seconds of its write')
 def check_known(context):
     late = context.domain.list_late()
     assert context.domain.written_at
-    assert not late, (len(late), max(late, key=lambda one: one[-1]))
+    assert not late, (len(late), max(late, key=lambda entry: entry[-1]))
 
 
-@then('the store was asked for changes at most {most:d} times')
-def check_asked(context, most):
-    asked = [
+@then('the store received at most {limit:d} watch calls')
+def check_watch_calls(context, limit):
+    calls = [
         when for when in context.domain.store.watched_at if when > context.settled_at
     ]
-    assert len(asked) <= most, len(asked)
+    assert len(calls) <= limit, len(calls)
 
 
 @then(
-    'in the last {seconds:d} seconds the store was asked for changes '
-    'at most {most:d} times'
+    'in the last {seconds:d} seconds the store received at most {limit:d} watch calls'
 )
-def check_asked_late(context, seconds, most):
-    asked = context.domain.store.watched_at
-    late = [when for when in asked if when > asked[-1] - seconds]
-    assert len(late) <= most, len(late)
+def check_recent_watch_calls(context, seconds, limit):
+    calls = context.domain.store.watched_at
+    recent = [when for when in calls if when > calls[-1] - seconds]
+    assert len(recent) <= limit, len(recent)
 
 
 @given('a relay that watches a prefix')
@@ -187,102 +186,102 @@
     context.open_cache = open_cache
 
 
-@when('the store falls silent while a router asks')
+@when('the store stops responding while a router waits for changes')
 def silence_store(context):
-    async def play():
+    async def run():
         service, _, watch, first = await context.open_cache()
         service.faults.cut = {'relay'}
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         try:
             context.answer = await watch.wait_for_changes(first, 0.1)
         except StoreError as error:
             context.answer = error
-        context.passed = asyncio.get_running_loop().time() - begun
+        context.elapsed = asyncio.get_running_loop().time() - started_at
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@then('the router gets no answer without changes, but a failure within 1 second')
+@then('the router gets an error within 1 second instead of an empty result')
 def check_failure(context):
     assert isinstance(context.answer, StoreError), context.answer
-    assert context.passed < MAX_FAILURE_SECONDS, context.passed
+    assert context.elapsed < MAX_FAILURE_SECONDS, context.elapsed
 
 
-@when('a router waits {seconds:d} seconds for changes, and none comes')
+@when('a router waits {seconds:d} seconds for changes and none is written')
 def wait_long(context, seconds):
-    async def play():
+    async def run():
         _, _, watch, first = await context.open_cache()
-        begun = asyncio.get_running_loop().time()
-        context.changes = await watch.wait_for_changes(first, seconds)
-        context.passed = asyncio.get_running_loop().time() - begun
+        started_at = asyncio.get_running_loop().time()
+        context.result = await watch.wait_for_changes(first, seconds)
+        context.elapsed = asyncio.get_running_loop().time() - started_at
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@then('it gets an answer without changes after {seconds:d} seconds')
+@then('it gets an empty result after {seconds:d} seconds')
 def check_long(context, seconds):
-    assert not context.changes.changes
-    assert seconds <= context.passed < seconds + MAX_FAILURE_SECONDS, context.passed
+    assert not context.result.changes
+    assert seconds <= context.elapsed < seconds + MAX_FAILURE_SECONDS, context.elapsed
 
 
-@when('{count:d} other prefixes are asked for')
-def ask_for_many(context, count):
-    async def play():
+@when('a caller watches {count:d} other prefixes')
+def watch_many_prefixes(context, count):
+    async def run():
         _, cache, _, first = await context.open_cache()
-        found = [cache.find(f'other-{one}/', first) for one in range(count)]
-        context.watched = [one for one in found if one is not None]
+        found = [cache.find(f'other-{number}/', first) for number in range(count)]
+        context.watched = [watch for watch in found if watch is not None]
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@then('the relay watches at most {most:d} of them, and passes the rest on')
-def check_bounded(context, most):
-    assert 0 < len(context.watched) <= most, len(context.watched)
+@then('the relay watches at most {limit:d} of them and forwards the other calls')
+def check_bounded(context, limit):
+    assert 0 < len(context.watched) <= limit, len(context.watched)
 
 
-@when("a router asks for changes from before the relay's watch")
-def ask_from_before(context):
-    async def play():
+@when("a router requests changes from before the start of the relay's watch")
+def watch_from_earlier_revision(context):
+    async def run():
         _, cache, _, first = await context.open_cache()
         context.found = cache.find('op/', first - 1)
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@then('the relay has no watch for it')
+@then('the relay has no watch that covers them')
 def check_no_watch(context):
     assert context.found is None
 
 
-@when("a router asks from a revision that the relay hasn't heard of")
-def ask_from_ahead(context):
-    async def play():
+@when("a router watches from a revision that the relay hasn't received yet")
+def watch_from_later_revision(context):
+    async def run():
         service, _, watch, _ = await context.open_cache()
         service.put('op/a', b'2')
-        # The router has listed this change before the relay heard of it.
-        asking = asyncio.create_task(watch.wait_for_changes(service.revision, 5.0))
+        # The router has listed this change before the relay received it.
+        waiting = asyncio.create_task(watch.wait_for_changes(service.revision, 5.0))
         await asyncio.sleep(1.0)
         service.put('op/a', b'3')
-        context.changes = await asking
+        context.result = await waiting
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@then('it gets the next change, and no change twice')
+@then('it gets the next change and no duplicate')
 def check_next(context):
-    contents = [one.content for one in context.changes.changes]
+    contents = [change.content for change in context.result.changes]
     assert contents == [b'3'], contents
 
 
 @then(
-    '{few:d} routers in {domains:d} domains ask for themselves, '
-    'and {many:d} in {fewer:d} share'
+    '{few:d} routers in {domains:d} domains watch the store directly, '
+    'and {many:d} in {fewer:d} share their watches'
 )
-def check_plan(context, few, domains, many, fewer):
+def check_schedule(context, few, domains, many, fewer):
     assert not plan_router_watch(few, domains, MAX_PROPAGATION_SECONDS).shared
     assert plan_router_watch(many, fewer, MAX_PROPAGATION_SECONDS).shared
 
 
-@then("routers share while it isn't known how many there are")
+@then('routers share their watches while the number of routers is unknown')
 def check_unknown(context):
     assert plan_router_watch(None, 4, MAX_PROPAGATION_SECONDS).shared
--- a/features/steps/storecalls_steps.py
+++ b/features/steps/storecalls_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls to the store over links that are slow or fall silent."""
+"""Steps on calls to the store over slow or silent links."""
 
 import asyncio
 
@@ -24,52 +24,52 @@
 RELAY = ('10.0.0.2', 7200)
 DOMAIN = 'domain-1'
 MAX_PROPAGATION_SECONDS = 2.0
-# Longer than any call may take; it ends a test that would hang.
+# Longer than any call may take; ends a test that would hang.
 TEST_TIMEOUT_SECONDS = 30.0
 PART_BYTES = 10_000
 HEAD = b'HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n'
 
 
-def plan_alone():
-    """Return how a router without others watches."""
+def plan_single_router():
+    """Return the watch schedule of a single router."""
     return plan_router_watch(1, 1, MAX_PROPAGATION_SECONDS)
 
 
 def make_content(number, size):
-    """Return a version of a catalogue."""
+    """Return a version of a catalogue of about this size."""
     return b'%d ' % number + bytes(size)
 
 
 def _run_router(context, use):
-    """Run a router's use of the store, which a relay beside it counts too."""
-    context.relayed = 0
+    """Run a router's calls to the store, and count those that reach the relay."""
+    context.relay_connections = 0
 
-    async def count_relayed(channel):
-        context.relayed += 1
+    async def count_connection(channel):
+        context.relay_connections += 1
         await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
-    async def listen(net, address, serve):
-        await net.create_server(serve.accept, *address)
+    async def listen(net, address, tasks):
+        await net.create_server(tasks.accept, *address)
 
-    async def play(net):
+    async def run(net):
         context.net = net
         for link in context.links:
             net.links['store', 'router'] = link
-        serving = context.serve()
-        await net.start_on('store', listen(net, STORE, serving))
-        relay = ConnectionTasks(count_relayed, 'relay', open_null_log())
-        await net.start_on('relay', listen(net, RELAY, relay))
-        places = [RelayEndpoint(RELAY, DOMAIN)]
-        context.paths = StorePaths(STORE, DOMAIN, lambda: places)
+        store_tasks = context.serve()
+        await net.start_on('store', listen(net, STORE, store_tasks))
+        relay_tasks = ConnectionTasks(count_connection, 'relay', open_null_log())
+        await net.start_on('relay', listen(net, RELAY, relay_tasks))
+        endpoints = [RelayEndpoint(RELAY, DOMAIN)]
+        context.paths = StorePaths(STORE, DOMAIN, lambda: endpoints)
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             context.log = ReadableLog()
             store = PlatformStore(context.paths, context.log)
             return await net.start_on('router', use(store))
 
-    return run_on_net(play)
+    return run_on_net(run)
 
 
-@given('a store whose answers come to a router at {rate:d} bytes a second')
+@given('a store whose answers reach a router at {rate:d} bytes per second')
 def serve_slowly(context, rate):
     context.links = [Link(rate=rate)]
 
@@ -82,18 +82,18 @@
     context.serve = serve
 
 
-def _serve_parts(context, pause):
+def _serve_parts(context, interval):
     context.links = []
 
     async def serve(channel):
         await channel.read()
         channel.write(HEAD)
-        context.heard_at = [asyncio.get_running_loop().time()]
-        for _ in range(1_000 if pause else 1):
-            await asyncio.sleep(pause)
+        context.sent_at = [asyncio.get_running_loop().time()]
+        for _ in range(1_000 if interval else 1):
+            await asyncio.sleep(interval)
             channel.write(b'x')
-            if not pause:
-                context.heard_at.append(asyncio.get_running_loop().time())
+            if not interval:
+                context.sent_at.append(asyncio.get_running_loop().time())
         await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
     context.serve = lambda: ConnectionTasks(serve, 'store', open_null_log())
@@ -104,9 +104,9 @@
     _serve_parts(context, 0.0)
 
 
-@given('a store that sends a byte of its answer each {pause:g} seconds')
-def trickle(context, pause):
-    _serve_parts(context, pause)
+@given('a store that sends a byte of its answer every {interval:g} seconds')
+def trickle(context, interval):
+    _serve_parts(context, interval)
 
 
 @when('the router lists a catalogue of {size:d} bytes')
@@ -119,39 +119,41 @@
     context.listing = _run_router(context, use)
 
 
-@when('the router lists a catalogue of {size:d} bytes, and a call beside it fails')
+@when('the router lists a catalogue of {size:d} bytes and a concurrent call fails')
 def list_beside_failure(context, size):
     async def use(store):
         context.service.put(CATALOGUE_KEY, make_content(1, size))
         listing = asyncio.create_task(store.scan(CATALOGUE_PREFIX))
         await asyncio.sleep(1.0)
-        # New connections of the router find nobody; what stands goes on.
+        # New connections of the router are refused; open ones stay.
         context.net.listeners.pop(STORE)
         try:
             await store.read('key')
         except StoreError:
-            context.other_failed = True
+            context.concurrent_call_failed = True
         return await listing
 
     context.size = size
     context.listing = _run_router(context, use)
-    assert context.other_failed
+    assert context.concurrent_call_failed
 
 
-@then('the straight way to the store still counts as working')
-def check_straight(context):
+@then('the direct path to the store still counts as working')
+def check_direct(context):
     assert context.paths.direct_works
 
 
-@then('the listing is whole')
-def check_whole(context):
+@then('the listing is complete')
+def check_complete(context):
     contents = [item.content for item in context.listing.items]
-    assert contents == [make_content(1, context.size)], [len(one) for one in contents]
+    assert contents == [make_content(1, context.size)], [
+        len(found) for found in contents
+    ]
 
 
-@then('the relay that the router knows was asked nothing')
-def check_one_way(context):
-    assert context.relayed == 0, context.relayed
+@then('the relay that the router knows received no call')
+def check_one_path(context):
+    assert context.relay_connections == 0, context.relay_connections
 
 
 @when('the router reads a key')
@@ -168,37 +170,44 @@
 @then('the call has failed within {seconds:g} second of the last byte')
 @then('the call has failed within {seconds:g} seconds of the first byte')
 def check_given_up(context, seconds):
-    passed = context.failed_at - context.heard_at[-1]
-    assert passed <= seconds, passed
+    elapsed = context.failed_at - context.sent_at[-1]
+    assert elapsed <= seconds, elapsed
 
 
-@then('the log tells that {received:d} of {length:d} bytes had come')
+@then('the log states that {received:d} of {length:d} bytes were received')
 def check_cut_logged(context, received, length):
-    found = context.log.list_events(Event.answer_cut)
-    assert [(one['bytes'], one['of']) for one in found] == [(received, length)], found
+    events = context.log.list_events(Event.answer_cut)
+    assert [(event['bytes'], event['of']) for event in events] == [
+        (received, length)
+    ], events
 
 
-@then('the log tells by which way it came, and how long it took')
+@then('the log states the path and the duration of the answer')
 def check_slow_logged(context):
-    slow = context.log.list_events(Event.answer_slow)
-    assert len(slow) == 1, slow
-    found = slow[0]
-    assert found['way'] == 'straight', found
-    assert found['bytes'] >= context.size, found
-    assert found['seconds'] >= context.size / context.links[0].rate, found
+    events = context.log.list_events(Event.answer_slow)
+    assert len(events) == 1, events
+    event = events[0]
+    assert event['way'] == 'straight', event
+    assert event['bytes'] >= context.size, event
+    assert event['seconds'] >= context.size / context.links[0].rate, event
 
 
 @when(
-    'the router follows a catalogue of {size:d} bytes that changes {count:d} times '
+    'the router watches a catalogue of {size:d} bytes that changes {count:d} times '
     'in {seconds:g} seconds'
 )
 def follow_changes(context, size, count, seconds):
     async def use(store):
-        service, view = context.service, NewestContent()
+        service, subscriber = context.service, NewestContent()
         service.put(CATALOGUE_KEY, make_content(0, size))
         contact = StoreContact(asyncio.get_running_loop().time())
         watch = PrefixWatch(
-            store, CATALOGUE_PREFIX, view, open_null_log(), contact, plan_alone
+            store,
+            CATALOGUE_PREFIX,
+            subscriber,
+            open_null_log(),
+            contact,
+            plan_single_router,
         )
         listed = asyncio.Event()
         task = asyncio.get_running_loop().create_task(watch.run(listed.set))
@@ -208,7 +217,7 @@
             service.put(CATALOGUE_KEY, make_content(number, size))
         await asyncio.sleep(3.0)
         task.cancel()
-        return view.content
+        return subscriber.content
 
     context.newest = make_content(count, size)
     context.content = _run_router(context, use)
@@ -216,13 +225,11 @@
 
 @then('it has the newest catalogue 3 seconds after the last change')
 def check_newest(context):
-    found = context.content.partition(b' ')[0]
-    assert context.content == context.newest, found
+    version = context.content.partition(b' ')[0]
+    assert context.content == context.newest, version
 
 
-@when(
-    'the router writes on condition of a key that was changed and of one that is absent'
-)
+@when('the router writes on condition of a key that was changed and of an absent key')
 def write_in_conflict(context):
     async def use(store):
         context.service.put('changed', b'new')
@@ -232,7 +239,7 @@
     context.conflict = _run_router(context, use)
 
 
-@then('the conflict brings the changed key and names the absent one')
+@then('the conflict returns the changed key and names the absent key')
 def check_conflict(context):
     assert context.conflict.find('changed').content == b'new'
     assert context.conflict.absent == ('absent',), context.conflict
--- a/features/steps/virtualnet_steps.py
+++ b/features/steps/virtualnet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the network in memory itself."""
+"""Steps on the in-memory network itself."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class Recorder(asyncio.Protocol):
-    """Keeps what comes, and when the writer is stopped."""
+    """Records received bytes, the end of the connection and pauses of writing."""
 
     def __init__(self):
         self.received = b''
@@ -19,29 +19,29 @@
         self.pause_count = 0
 
     def connection_made(self, transport):
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def data_received(self, data):
-        """Keep the bytes and their time."""
+        """Record the bytes and their time."""
         self.received += data
         self.received_at = asyncio.get_running_loop().time()
 
     def eof_received(self):
-        """Note the end."""
+        """Record the end of the stream."""
         self.ended = True
 
     def connection_lost(self, exc):
-        """Note how the connection ended."""
+        """Record how the connection ended."""
         self.lost, self.failure = True, exc
 
     def pause_writing(self):
-        """Count how often the writer is stopped."""
+        """Count how often writing is paused."""
         self.pause_count += 1
 
 
 def _run_connection(context, link, act):
-    async def play(net):
+    async def run(net):
         net.links['server', ''] = link
         accepted = []
 
@@ -58,17 +58,17 @@
         context.sender = accepted[0]
         await act(net)
 
-    run_on_net(play)
+    run_on_net(run)
 
 
-@given('a link with a delay of {delay:g} s and {rate:g} bytes a second')
-def keep_slow_link(context, delay, rate):
+@given('a link with a delay of {delay:g} s and {rate:g} bytes per second')
+def define_slow_link(context, delay, rate):
     context.link = Link(delay, rate)
 
 
-@given('a link that holds {room:d} bytes')
-def keep_small_link(context, room):
-    context.link = Link(room=room)
+@given('a link that buffers {size:d} bytes')
+def define_small_link(context, size):
+    context.link = Link(room=size)
 
 
 @when('{size:d} bytes are sent over it and the connection is closed')
@@ -81,39 +81,42 @@
     _run_connection(context, context.link, act)
 
 
-@then('they are whole {seconds:g} s after the call to connect, and then the end comes')
+@then(
+    'they arrive completely {seconds:g} s after the call to connect, '
+    'followed by the end'
+)
 def check_times(context, seconds):
     reader = context.reader
-    # 0.5 s until the connection stands, 2 s of bytes, 0.5 s on the way; the other
-    # direction has the usual delay.
+    # 0.5 s until the connection is established, 2 s of transfer and 0.5 s of delay; the
+    # other direction has the default delay.
     assert round(reader.received_at, 2) == round(seconds, 2), reader.received_at
     assert len(reader.received) == 2_000 and reader.ended and reader.failure is None
 
 
-@when('{size:d} bytes are sent to a reader that reads nothing for {seconds:g} s')
+@when('{size:d} bytes are sent to a reader that pauses for {seconds:g} s')
 def send_to_slow(context, size, seconds):
     async def act(net):
         context.reader.transport.pause_reading()
         context.sender.transport.write(bytes(size))
         await asyncio.sleep(seconds)
-        context.before = len(context.reader.received)
-        context.held = context.sender.transport.get_write_buffer_size()
+        context.received_while_paused = len(context.reader.received)
+        context.buffered = context.sender.transport.get_write_buffer_size()
         context.reader.transport.resume_reading()
         await asyncio.sleep(1.0)
 
     _run_connection(context, context.link, act)
 
 
-@then('the sender was made to wait, and the reader got all')
+@then('the sender had to wait and the reader receives all bytes')
 def check_wait(context):
-    assert context.before == 0 and context.sender.pause_count == 1
-    assert context.held == 200_000 - context.link.room, context.held
+    assert context.received_while_paused == 0 and context.sender.pause_count == 1
+    assert context.buffered == 200_000 - context.link.room, context.buffered
     assert len(context.reader.received) == 200_000, len(context.reader.received)
     assert context.sender.transport.get_write_buffer_size() == 0
 
 
-@when('a process writes {size:d} bytes and ends before the reader reads')
-def write_and_end(context, size):
+@when('a process writes {size:d} bytes and exits before the reader reads')
+def write_and_exit(context, size):
     async def act(net):
         context.reader.transport.pause_reading()
         context.sender.transport.write(bytes(size))
@@ -125,14 +128,14 @@
     _run_connection(context, context.link, act)
 
 
-@then('the reader gets {size:d} bytes and the end')
+@then('the reader receives {size:d} bytes and the end of the stream')
 def check_part(context, size):
     reader = context.reader
     assert len(reader.received) == size and reader.ended, len(reader.received)
     assert not context.listener.is_serving()
 
 
-@when("a process closes a connection whose bytes it hasn't read")
+@when('a process closes a connection with unread bytes')
 def close_unread(context):
     async def act(net):
         context.sender.transport.pause_reading()
@@ -163,7 +166,7 @@
     _run_connection(context, Link(), act)
 
 
-@then('the connection still carries bytes, and a new one is refused')
+@then('the connection still works and a new one is refused')
 def check_refusal(context):
     assert context.reader.received == b'still there', context.reader.received
     assert context.refusal is not None
--- a/packages/fleet/src/ibisport_fleet/adapters.py
+++ b/packages/fleet/src/ibisport_fleet/adapters.py
@@ -1,4 +1,4 @@
-"""What a router needs of the platform that it runs on."""
+"""Platform-specific parts of a router."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adapters:
-    """What a platform's adapter provides."""
+    """Functions and keys that a platform's adapter provides."""
 
     dialect: Dialect
     open_store: Callable[[StorePaths, EventLog], Store]
--- a/packages/fleet/src/ibisport_fleet/channel.py
+++ b/packages/fleet/src/ibisport_fleet/channel.py
@@ -1,4 +1,4 @@
-"""A byte stream over TCP, seen by one task."""
+"""A byte stream over TCP that one task reads and writes."""
 
 import asyncio
 import socket
@@ -12,21 +12,21 @@
     NobodyListens,
 )
 
-# Above this many unread bytes the peer is made to wait, so that one connection
-# can't take the memory of the process.
+# Above this many unread bytes reading is paused, so that a single connection can't
+# exhaust the memory of the process.
 MAX_UNREAD_BYTES = 262_144
-# A connection on which sent bytes stay unacknowledged for so long is dead:
-# nothing else shows a peer that lost power or a path that fell silent.
+# A connection whose sent bytes stay unacknowledged for this time is dead: nothing else
+# reveals a peer that lost power or a path that drops packets.
 UNACKNOWLEDGED_TIMEOUT_MS = 3_000
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_PROBES = 2
 
 
 class Channel(asyncio.Protocol):
-    """One TCP connection.
+    """A TCP connection.
 
     Attributes:
-        on_lost: Called once when the connection has ended, if set.
+        on_lost: Called once when the connection ends, if set.
     """
 
     def __init__(self, on_open: Callable[['Channel'], None] | None = None) -> None:
@@ -44,29 +44,29 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the peer closed, or the connection broke."""
+        """Whether the peer closed the connection, or it was lost."""
         return self._ended
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes have come that nobody read."""
+        """Whether received bytes are waiting to be read."""
         return bool(self._unread)
 
     @property
     def flushed(self) -> bool:
-        """Whether everything written has been handed to the system."""
+        """Whether all written data has been handed to the operating system."""
         return self._transport is None or not self._transport.get_write_buffer_size()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set its time-outs."""
-        # uvloop's transports have the methods but not the class.
+        """Store the transport and set its timeouts."""
+        # uvloop's transports implement asyncio.Transport without inheriting from it.
         self._transport = cast(asyncio.Transport, transport)
         _set_socket_options(transport.get_extra_info('socket'))
         if self._on_open is not None:
             self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Keep what came until it is read."""
+        """Buffer received bytes until they are read."""
         self._unread.append(data)
         self._unread_bytes += len(data)
         if self._unread_bytes > MAX_UNREAD_BYTES and not self._reading_paused:
@@ -75,25 +75,25 @@
         _wake(self._read_waiter)
 
     def eof_received(self) -> bool:
-        """Note that the peer sends no more; the connection is closed."""
+        """Handle the end of the peer's bytes; the connection is closed."""
         self._end(None)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection has ended."""
+        """Handle the end of the connection."""
         self._end(exc)
 
     def pause_writing(self) -> None:
-        """Make writers wait: the peer reads too slowly."""
+        """Suspend writers, as the peer reads too slowly."""
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Resume writers."""
         self._writing_paused = False
         _wake(self._write_waiter)
 
     async def read(self) -> bytes:
-        """Return the next bytes, empty at the end of the peer's bytes.
+        """Return the next received bytes, or empty bytes at the end of the stream.
 
         Raises:
             ConnectionBroken: The connection was reset.
@@ -114,23 +114,23 @@
         return data
 
     def write(self, data: bytes) -> None:
-        """Send bytes; they are lost without a word if the connection ended."""
+        """Send bytes; they are dropped without an error if the connection has ended."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the peer has taken most of what was written."""
+        """Wait until most of the written data has been sent."""
         while self._writing_paused and not self._ended:
             self._write_waiter = asyncio.get_running_loop().create_future()
             await self._write_waiter
 
     def close(self) -> None:
-        """Close once all that was written is sent."""
+        """Close the connection once all written data is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection, so that what was sent can't look complete."""
+        """Reset the connection, so that truncated data can't look complete."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -154,12 +154,12 @@
     """Connect to an address.
 
     Args:
-        address: IP number and port.
-        deadline: Loop time until which the connection must stand.
+        address: IP address and port.
+        deadline: Loop time by which the connection must be established.
 
     Raises:
-        NobodyListens: The host refused it.
-        ConnectionFailed: It does not stand by then.
+        NobodyListens: The host refused the connection.
+        ConnectionFailed: The connection wasn't established by the deadline.
     """
     loop = asyncio.get_running_loop()
     try:
--- a/packages/fleet/src/ibisport_fleet/connection_pool.py
+++ b/packages/fleet/src/ibisport_fleet/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets, kept open between requests."""
+"""Keeps idle connections to targets and routers open for reuse."""
 
 import asyncio
 from collections import deque
@@ -6,48 +6,48 @@
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.http_connection import HttpConnection, open_http_connection
 
-# Below the idle time-outs that targets state in whole seconds, less a second for
-# the way and the rounding.
+# Below the idle timeouts of targets. Targets state them in whole seconds; the margin
+# covers rounding and network latency.
 DEFAULT_IDLE_SECONDS = 3.0
 IDLE_MARGIN_SECONDS = 1.0
 
 
 class ConnectionPool:
-    """Idle connections by address, the newest used first."""
+    """Idle connections by address; the most recently used one is reused first."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, deque[HttpConnection]] = {}
 
     def acquire_idle(self, address: Address) -> HttpConnection | None:
-        """Return an idle connection that is still good, or None."""
+        """Return a reusable idle connection, or None."""
         now = asyncio.get_running_loop().time()
-        kept = self._idle.get(address)
-        while kept:
-            exchange = kept.pop()
-            if exchange.reusable and exchange.idle_until > now:
-                return exchange
-            exchange.close()
+        idle = self._idle.get(address)
+        while idle:
+            connection = idle.pop()
+            if connection.reusable and connection.idle_until > now:
+                return connection
+            connection.close()
         return None
 
     async def open(self, address: Address, deadline: float) -> HttpConnection:
-        """Connect anew by a loop time.
+        """Open a new connection by a deadline in loop time.
 
         Raises:
-            ConnectionFailed: Nothing stands by then; nothing was sent.
+            ConnectionFailed: The connection wasn't established; nothing was sent.
         """
         return await open_http_connection(address, deadline)
 
-    def release(self, exchange: HttpConnection, idle_seconds: float | None) -> None:
-        """Keep a connection for the next request, or close it if it isn't clean.
+    def release(self, connection: HttpConnection, idle_seconds: float | None) -> None:
+        """Keep a connection for the next request, or close it if it isn't reusable.
 
         Args:
-            exchange: The connection, its last answer read to the end.
-            idle_seconds: How long the target keeps it, if it said so.
+            connection: A connection whose last answer was read to its end.
+            idle_seconds: Idle timeout that the peer stated, if any.
         """
-        if not exchange.reusable:
-            exchange.close()
+        if not connection.reusable:
+            connection.close()
             return
         stated = DEFAULT_IDLE_SECONDS if idle_seconds is None else idle_seconds
         now = asyncio.get_running_loop().time()
-        exchange.idle_until = now + max(0.0, stated - IDLE_MARGIN_SECONDS)
-        self._idle.setdefault(exchange.address, deque()).append(exchange)
+        connection.idle_until = now + max(0.0, stated - IDLE_MARGIN_SECONDS)
+        self._idle.setdefault(connection.address, deque()).append(connection)
--- a/packages/fleet/src/ibisport_fleet/connection_tasks.py
+++ b/packages/fleet/src/ibisport_fleet/connection_tasks.py
@@ -1,4 +1,4 @@
-"""One task for each connection that peers open to us."""
+"""Runs a task for each accepted connection."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,45 +10,45 @@
 
 
 class ConnectionTasks:
-    """The tasks of all connections to one listener.
+    """Tasks of all connections of a listener.
 
-    A task is cancelled as soon as its peer has gone, so that nothing is done for
-    nobody.
+    A task is cancelled as soon as its peer disconnects, so that no work is done for
+    an absent peer.
     """
 
     def __init__(
         self, serve: Callable[[Channel], Awaitable[None]], name: str, log: EventLog
     ) -> None:
-        """Begin with no connection.
+        """Start without any connection.
 
         Args:
-            serve: What a task does with its connection.
-            name: What the log calls these connections.
-            log: Where a failure of a task is written.
+            serve: Serves a connection until it ends.
+            name: Name of the tasks in the log.
+            log: Receives the failures of tasks.
         """
         self._serve = serve
         self._name = name
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
-        # A channel lives until its transport has sent all that was written.
+        # A channel is referenced until its transport has sent all written data.
         self._channels: WeakSet[Channel] = WeakSet()
 
     @property
     def flushed(self) -> bool:
-        """Whether all that was written has been handed to the system."""
+        """Whether all written data has been handed to the operating system."""
         return all(channel.flushed for channel in self._channels)
 
     def __len__(self) -> int:
         return len(self._tasks)
 
     def accept(self) -> Channel:
-        """Return the protocol of a new connection."""
+        """Return the protocol object of a new connection."""
         return Channel(self._start)
 
     def _start(self, channel: Channel) -> None:
         self._channels.add(channel)
         task = asyncio.get_running_loop().create_task(self._run(channel))
-        # The loop itself keeps no reference to a task.
+        # The loop keeps only weak references to tasks.
         self._tasks.add(task)
         task.add_done_callback(self._finish)
         channel.on_lost = partial(_cancel, task)
--- a/packages/fleet/src/ibisport_fleet/content_coding.py
+++ b/packages/fleet/src/ibisport_fleet/content_coding.py
@@ -1,4 +1,4 @@
-"""Coded bodies of answers between our own processes (RFC 9110, section 8.4)."""
+"""Compressed bodies of answers between routers and relays (RFC 9110, section 8.4)."""
 
 import zlib
 
@@ -7,24 +7,24 @@
 
 CODING = b'deflate'
 ACCEPT_HEADERS: Headers = ((b'accept-encoding', CODING),)
-# Shorter bodies fit into a few packets as they are.
+# Shorter bodies fit into a few packets uncompressed.
 MIN_CODED_BYTES = 4_096
-# The fastest level: the higher ones save a tenth more for twice the time.
+# The fastest zlib level: higher ones save another tenth in twice the time.
 COMPRESSION_LEVEL = 1
 
 
 def accepts_coding(request: Request) -> bool:
-    """Whether the answer to a request may be coded."""
+    """Return whether the answer to a request may be compressed."""
     return CODING in (request.find(b'accept-encoding') or b'')
 
 
 def drop_accept_encoding(headers: Headers) -> Headers:
-    """Return a request's headers without the codings that it accepts."""
+    """Return a request's headers without ``Accept-Encoding``."""
     return tuple(pair for pair in headers if pair[0] != b'accept-encoding')
 
 
 def encode_body(headers: Headers, body: bytes) -> tuple[Headers, bytes]:
-    """Return the headers and the body of an answer, coded if that is worth it."""
+    """Return headers and body of an answer, compressed if the body is long enough."""
     coded = any(name == b'content-encoding' for name, _ in headers)
     if coded or len(body) < MIN_CODED_BYTES:
         return headers, body
@@ -32,21 +32,21 @@
     return (*headers, coding), zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def decode_body(answer: Answer, most_bytes: int) -> bytes:
-    """Return the body of an answer as it was before it was coded.
+def decode_body(answer: Answer, max_bytes: int) -> bytes:
+    """Return the uncompressed body of an answer.
 
     Args:
-        answer: As it came.
-        most_bytes: Longest body that may be kept.
+        answer: Answer as received.
+        max_bytes: Maximum size of the uncompressed body.
 
     Raises:
-        AnswerInvalid: It can't be decoded, or is longer.
+        AnswerInvalid: The body can't be decompressed, or is too long.
     """
     if answer.head.find(b'content-encoding') != CODING:
         return answer.body
     decoder = zlib.decompressobj()
     try:
-        body = decoder.decompress(answer.body, most_bytes)
+        body = decoder.decompress(answer.body, max_bytes)
     except zlib.error as error:
         raise AnswerInvalid(f'a coded body: {error}') from error
     if not decoder.eof:
--- a/packages/fleet/src/ibisport_fleet/http_connection.py
+++ b/packages/fleet/src/ibisport_fleet/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange after the other on a connection of ours."""
+"""HTTP/1.1 client connections, each for one request at a time."""
 
 import asyncio
 from collections import deque
@@ -13,9 +13,9 @@
 from ibisport_fleet.http_messages import Answer, AnswerHead, Headers, encode_head
 
 FIRST_FINAL_STATUS = 200
-# Answers that have no body, whatever their headers say (RFC 9112, section 6.3).
+# Answers without a body, whatever their headers say (RFC 9112, section 6.3).
 BODILESS_STATUSES = frozenset((204, 304))
-# The parser's own buffers are small; this bounds what one answer may take.
+# The parser's own buffers are small; this bounds the memory of an answer.
 MAX_BODY_BYTES = 8_388_608
 
 
@@ -26,30 +26,30 @@
 
 @dataclass(frozen=True, slots=True)
 class _AnswerEnd:
-    """The answer is whole, as far as its framing tells."""
+    """The answer is complete according to its framing."""
 
 
 _AnswerEvent = AnswerHead | _BodyPart | _AnswerEnd
 
 
 class AnswerObserver(Protocol):
-    """Follows how an answer comes."""
+    """Receives the progress of an answer."""
 
     def handle_head(self, head: AnswerHead) -> None:
-        """Note the head; what it raises ends the exchange."""
+        """Handle the head; an exception that is raised here ends the request."""
 
     def handle_bytes(self, size: int) -> None:
-        """Note that so many bytes of the body came."""
+        """Handle the arrival of this many bytes of the body."""
 
 
 class HttpConnection:
-    """A connection of ours to a target or to the store.
+    """A client connection to a target, a router, a relay or the store.
 
     Attributes:
-        address: The peer's IP number and port.
-        idle_until: Loop time from which the connection must not be used again.
-        answered: The last request has its whole answer, and the peer keeps the
-            connection.
+        address: IP address and port of the peer.
+        idle_until: Loop time from which the connection must not be reused.
+        keep_alive: Whether the last request was answered completely and the peer
+            keeps the connection open.
     """
 
     def __init__(self, address: Address, channel: Channel) -> None:
@@ -62,50 +62,50 @@
 
     @property
     def channel(self) -> Channel:
-        """The bytes below."""
+        """The underlying byte stream."""
         return self._channel
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent: nothing is left over."""
+        """Whether another request may be sent: no data of earlier ones is pending."""
         channel = self._channel
-        busy = self._events or self._parsing or self._malformed or channel.has_unread
-        return not (busy or channel.ended) and channel.flushed
+        pending = self._events or self._parsing or self._malformed or channel.has_unread
+        return not (pending or channel.ended) and channel.flushed
 
-    def send(self, start: bytes, headers: Headers, body: bytes) -> None:
-        """Send one request; its length is stated if it has a body."""
-        if body or not start.startswith((b'GET ', b'DELETE ', b'HEAD ')):
+    def send(self, request_line: bytes, headers: Headers, body: bytes) -> None:
+        """Send a request, with a content length if it has or may have a body."""
+        if body or not request_line.startswith((b'GET ', b'DELETE ', b'HEAD ')):
             headers = (*headers, (b'content-length', b'%d' % len(body)))
-        self._channel.write(encode_head(start, headers) + body)
+        self._channel.write(encode_head(request_line, headers) + body)
 
-    async def read_head(self, watcher: AnswerObserver | None = None) -> AnswerHead:
+    async def read_head(self, observer: AnswerObserver | None = None) -> AnswerHead:
         """Return the head of the next final answer.
 
         Args:
-            watcher: Is told of each part of interim answers.
+            observer: Notified of each part of interim answers.
 
         Raises:
-            AnswerInvalid: The bytes are no answer, or end before it.
+            AnswerInvalid: The bytes are no HTTP answer, or end before one.
             ConnectionBroken: The connection was reset.
         """
         while True:
-            piece = await self._next_event()
-            match piece:
+            event = await self._next_event()
+            match event:
                 case AnswerHead(status=status) if status >= FIRST_FINAL_STATUS:
-                    return piece
-                case AnswerHead() | _BodyPart() | _AnswerEnd() if watcher is not None:
-                    # What belongs to an interim answer.
-                    watcher.handle_bytes(0)
+                    return event
+                case AnswerHead() | _BodyPart() | _AnswerEnd() if observer is not None:
+                    # Part of an interim answer.
+                    observer.handle_bytes(0)
 
     async def read_part(self) -> bytes | None:
-        """Return the next bytes of the body, or None after its end.
+        """Return the next bytes of the body, or None at its end.
 
         Raises:
-            AnswerInvalid: The answer ends early.
+            AnswerInvalid: The answer is truncated.
             ConnectionBroken: The connection was reset.
         """
-        piece = await self._next_event()
-        match piece:
+        event = await self._next_event()
+        match event:
             case _BodyPart(content=content):
                 return content
             case _AnswerEnd():
@@ -113,64 +113,64 @@
             case AnswerHead():
                 raise AnswerInvalid('an answer begins within another')
 
-    async def read_body(self, watcher: AnswerObserver | None = None) -> bytes:
-        """Return the whole body that follows a head.
+    async def read_body(self, observer: AnswerObserver | None = None) -> bytes:
+        """Return the complete body of the answer whose head was read.
 
         Args:
-            watcher: Is told of each part.
+            observer: Notified of each part.
 
         Raises:
-            AnswerInvalid: It ends early, or is longer than can be kept.
+            AnswerInvalid: The body is truncated or too long.
             ConnectionBroken: The connection was reset.
         """
         parts = bytearray()
         while (part := await self.read_part()) is not None:
             parts += part
-            if watcher is not None:
-                watcher.handle_bytes(len(part))
+            if observer is not None:
+                observer.handle_bytes(len(part))
             if len(parts) > MAX_BODY_BYTES:
                 raise AnswerInvalid('the body is too long')
         return bytes(parts)
 
     async def request(
         self,
-        start: bytes,
+        request_line: bytes,
         headers: Headers,
         body: bytes,
-        watcher: AnswerObserver | None = None,
+        observer: AnswerObserver | None = None,
     ) -> Answer:
-        """Send one request and return its whole answer.
+        """Send a request and return its complete answer.
 
         Args:
-            start: The request line.
-            headers: Its headers, but for the length.
-            body: Its body.
-            watcher: Is told of the answer's head and of each part.
+            request_line: HTTP request line.
+            headers: Headers, without the content length.
+            body: Body.
+            observer: Notified of the answer's head and of each part.
         """
         self.keep_alive = False
-        self.send(start, headers, body)
-        head = await self.read_head(watcher)
-        if watcher is not None:
-            watcher.handle_head(head)
-        content = await self.read_body(watcher)
+        self.send(request_line, headers, body)
+        head = await self.read_head(observer)
+        if observer is not None:
+            observer.handle_head(head)
+        content = await self.read_body(observer)
         self.keep_alive = head.keeps_open
         return Answer(head, content)
 
     def close(self) -> None:
-        """Drop the connection, and with it whatever runs for it."""
+        """Reset the connection; the peer aborts what it still does for it."""
         self._channel.abort()
 
     def on_message_begin(self) -> None:
-        """Note the first byte of an answer."""
+        """Handle the start of an answer."""
         self._parsing = True
         self._headers: list[tuple[bytes, bytes]] = []
 
     def on_header(self, name: bytes, content: bytes) -> None:
-        """Take one header."""
+        """Collect a header."""
         self._headers.append((name.lower(), content))
 
     def on_headers_complete(self) -> None:
-        """Keep the head."""
+        """Queue the head."""
         status = self._parser.get_status_code()
         headers = tuple(self._headers)
         names = {name for name, _ in headers}
@@ -185,11 +185,11 @@
         self._events.append(AnswerHead(status, headers, keeps_open, framed))
 
     def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Queue a part of the body."""
         self._events.append(_BodyPart(body))
 
     def on_message_complete(self) -> None:
-        """Note the end of an answer."""
+        """Queue the end of an answer."""
         self._parsing = False
         self._events.append(_AnswerEnd())
 
@@ -206,7 +206,7 @@
             if data:
                 self._feed(data)
             elif self._parsing and not self._framed:
-                # Without a length the end of the connection ends the answer.
+                # Without a length, the end of the connection ends the answer.
                 self.on_message_complete()
             else:
                 raise AnswerInvalid('the connection ended before the answer')
@@ -218,20 +218,20 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self._events:
                 raise AnswerInvalid(f'not an answer: {error!r}') from error
-            # What was whole before the bad bytes may still be read; the rest
-            # shows as an early end.
+            # What was parsed before the malformed bytes can still be read; after
+            # it, the answer counts as truncated.
             self._malformed = True
             self._channel.abort()
 
 
 async def open_http_connection(address: Address, deadline: float) -> HttpConnection:
-    """Connect to a target or to the store by a loop time.
+    """Open a connection by a deadline in loop time.
 
     Raises:
-        NobodyListens: The host refused it; nothing was sent.
-        ConnectionFailed: Nothing stands by then; nothing was sent.
+        NobodyListens: The host refused the connection; nothing was sent.
+        ConnectionFailed: The connection wasn't established; nothing was sent.
     """
     channel = await open_channel(address, deadline)
-    exchange = HttpConnection(address, channel)
-    exchange.idle_until = asyncio.get_running_loop().time()
-    return exchange
+    connection = HttpConnection(address, channel)
+    connection.idle_until = asyncio.get_running_loop().time()
+    return connection
--- a/packages/fleet/src/ibisport_fleet/store.py
+++ b/packages/fleet/src/ibisport_fleet/store.py
@@ -1,4 +1,4 @@
-"""What the fleet needs of a key-value service; adapters speak its protocol."""
+"""Interface of the key-value store; platform adapters implement its protocol."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """One key as it was last written."""
+    """A key with its latest content and the revision of its last write."""
 
     key: str
     content: bytes
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """One key that is gone since a revision."""
+    """A key that was deleted at a revision."""
 
     key: str
     revision: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All keys of a prefix; ``revision`` is from where a watch goes on."""
+    """All keys of a prefix; a watch continues from ``revision``."""
 
     items: tuple[Item, ...]
     revision: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchResult:
-    """What a watch brought, in order; empty if its wait ran out."""
+    """Changes that a watch returned, in order; empty if its wait ran out."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -43,13 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchOptions:
-    """How a watch is asked for.
+    """Options of a watch call.
 
     Attributes:
-        wait: Longest wait for a change, seconds.
-        most_bytes: Longest changes that are worth their way; 0 is without a bound.
-        shared: A relay that watches for several routers is asked first.
-        on_bytes: Is called as bytes of the answer come, if set.
+        wait: Maximum wait for a change, seconds.
+        max_bytes: Maximum size of the changes, beyond which a listing is cheaper;
+            0 means unlimited.
+        shared: Try a relay that watches for several routers first.
+        on_bytes: Called whenever bytes of the answer arrive, if set.
     """
 
     wait: float
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """A write happens only if a key has this revision; 0: there is no such key."""
+    """Precondition of a write: the key has this revision; 0 means it is absent."""
 
     key: str
     revision: int
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """One key to be written; it goes with its lease, unless that is 0."""
+    """A key to write; it is deleted when its lease ends, unless the lease is 0."""
 
     key: str
     content: bytes
@@ -77,25 +78,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """A write happened."""
+    """Result of a write that was carried out."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A write didn't happen.
+    """Result of a write whose conditions didn't hold.
 
     Attributes:
-        items: The conditions' keys as they are now.
-        absent: Those of them that don't exist now.
+        items: Current state of the conditions' keys.
+        absent: Keys of the conditions that don't exist.
     """
 
     items: tuple[Item, ...]
     absent: tuple[str, ...] = ()
 
     def find(self, key: str) -> Item | None:
-        """Return a key as it is now, or None if it is absent or isn't told."""
+        """Return the current state of a key, or None if it is absent or not given."""
         for item in self.items:
             if item.key == key:
                 return item
@@ -103,10 +104,10 @@
 
 
 class Store(Protocol):
-    """The calls. Each raises StoreUnavailable or StoreUnknown when it fails."""
+    """Calls to the store; each raises StoreUnavailable or StoreUnknown on failure."""
 
     async def read(self, key: str) -> Item | None:
-        """Return one key, or None if there is none."""
+        """Return a key, or None if it doesn't exist."""
 
     async def scan(
         self, prefix: str, *, stale: bool = False, shared: bool = False
@@ -114,17 +115,20 @@
         """Return all keys of a prefix.
 
         Args:
-            prefix: What the keys begin with.
-            stale: It may be old, and is cheap.
-            shared: A relay of the domain, which codes long answers, is asked first.
+            prefix: Prefix of the keys.
+            stale: Allow a stale but cheaper answer.
+            shared: Try a relay of the failure domain first; it compresses long
+                answers.
         """
 
-    async def watch(self, prefix: str, after: int, terms: WatchOptions) -> WatchResult:
-        """Return what changed after a revision, or nothing once the wait is over.
+    async def watch(
+        self, prefix: str, after: int, options: WatchOptions
+    ) -> WatchResult:
+        """Return the changes after a revision, or none once the wait is over.
 
         Raises:
-            HistoryLost: The service no longer has these changes.
-            ChangesTooLong: The changes are longer.
+            HistoryLost: The store no longer has these changes.
+            ChangesTooLong: The changes exceed the maximum size.
         """
 
     async def write(
@@ -133,13 +137,13 @@
         """Write all keys if all conditions hold, or none."""
 
     async def grant_lease(self, seconds: float) -> tuple[int, float]:
-        """Return a new lease and how long it lasts, counted from the call."""
+        """Return a new lease and its duration in seconds, counted from the call."""
 
     async def renew_lease(self, lease: int) -> bool:
-        """Let a lease last as long again; False if it has ended."""
+        """Extend a lease by its full duration; return False if it has ended."""
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease, and with it its keys; one that has ended is no failure."""
+        """End a lease and delete its keys; a lease that has ended is no error."""
 
     async def probe(self) -> bool:
-        """Whether the service answers on the straight way."""
+        """Return whether the store answers on the direct path."""
--- a/packages/fleet/src/ibisport_fleet/store_call.py
+++ b/packages/fleet/src/ibisport_fleet/store_call.py
@@ -1,4 +1,4 @@
-"""One call to the store, and how far a try of it on one way has come."""
+"""A call to the store, and the progress of an attempt of it on one path."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,34 +9,34 @@
 from ibisport_fleet.http_messages import AnswerHead, Headers
 from ibisport_fleet.store_paths import CallKind
 
-# An answer that has begun may go on while its bytes come: a megabyte takes two seconds
-# on a narrow link, and is not there any sooner on a second way.
+# An answer that has begun may continue while its bytes arrive: a megabyte takes two
+# seconds on a narrow link, and a second path wouldn't deliver it any sooner.
 MAX_SILENCE_SECONDS = 0.9
-# An answer whose bytes trickle is given up.
+# Bounds an answer whose bytes trickle in.
 MAX_ANSWER_SECONDS = 10.0
-# One that would take longer than this may come sooner on another way: the largest
+# An answer that would take longer may come sooner on another path: the largest
 # catalogue takes less on the narrowest links.
 MAX_TRANSFER_SECONDS = 3.5
-# The rate of an answer is judged after so long.
+# The transfer rate of an answer isn't estimated before this time.
 MIN_MEASURED_SECONDS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCall:
-    """One call as it goes over a connection.
+    """A call as it is sent over a connection.
 
     Attributes:
-        kind: What it asks.
-        start: The request line.
-        headers: Its headers, but for the length.
-        body: Its body.
-        seconds: How long it may take until its answer begins.
-        waits: The store answers late on purpose, so that a late answer says
-            nothing of the way.
-        most_bytes: Longest body of the answer; 0 is without a bound.
-        shared_prefix: Routers of a domain ask the same relay first for this prefix;
-            empty: each asks the store first.
-        on_bytes: Is called as bytes of an answer come, if set.
+        kind: Kind of the call.
+        request_line: HTTP request line.
+        headers: Headers, without the content length.
+        body: Body.
+        timeout_seconds: Maximum time until the answer begins.
+        long_poll: The store delays the answer on purpose, so a late answer says
+            nothing about the path.
+        max_bytes: Maximum size of the answer's body; 0 means unlimited.
+        shared_prefix: Routers of a failure domain try the same relay first for this
+            prefix; if empty, each router tries the store first.
+        on_bytes: Called whenever bytes of an answer arrive, if set.
     """
 
     kind: CallKind
@@ -51,24 +51,24 @@
 
 
 class CallAttempt:
-    """One try of a call on one way, and how far its answer has come.
+    """An attempt of a call on one path, and the progress of its answer.
 
     Attributes:
-        address: The way.
+        address: Address of the path.
         call: The call.
-        heard_at: Loop time of the answer's last bytes; None before the first.
-        first_at: Loop time of its first bytes; None before them.
-        length: Bytes that its head says it has; 0 if it says nothing.
-        received: Bytes of its body that have come.
+        last_received_at: Loop time of the answer's last bytes; None before the first.
+        first_received_at: Loop time of the answer's first bytes; None before them.
+        length: Content length that the answer's head states; 0 if it states none.
+        received: Bytes of the body received so far.
     """
 
-    def __init__(self, address: Address, call: StoreCall, until: float) -> None:
-        """Begin a try.
+    def __init__(self, address: Address, call: StoreCall, deadline: float) -> None:
+        """Start an attempt.
 
         Args:
-            address: The way.
+            address: Address of the path.
             call: The call.
-            until: Loop time by which the answer must begin.
+            deadline: Loop time by which the answer must begin.
         """
         self.address = address
         self.call = call
@@ -76,59 +76,59 @@
         self.first_received_at: float | None = None
         self.length = 0
         self.received = 0
-        self._timeout = asyncio.timeout_at(until)
+        self._timeout = asyncio.timeout_at(deadline)
 
     @property
     def timeout(self) -> asyncio.Timeout:
-        """What ends the try when its answer falls silent."""
+        """Timeout that ends the attempt; arriving bytes extend it."""
         return self._timeout
 
     @property
     def transfer_seconds(self) -> float:
-        """Seconds from the first bytes of the answer to the last ones so far."""
+        """Seconds between the first and the latest bytes of the answer."""
         if self.last_received_at is None or self.first_received_at is None:
             return 0.0
         return self.last_received_at - self.first_received_at
 
     def handle_head(self, head: AnswerHead) -> None:
-        """Note the answer's head.
+        """Record the answer's head.
 
         Raises:
-            ChangesTooLong: Its body is longer than the call allows.
+            ChangesTooLong: The body is longer than the call allows.
         """
         self.length = head.length
         self.handle_bytes(0)
-        most = self.call.max_bytes
-        if most and head.length > most:
+        limit = self.call.max_bytes
+        if limit and head.length > limit:
             raise ChangesTooLong(f'{head.length} bytes')
 
     def handle_bytes(self, size: int) -> None:
-        """Note that bytes came: the answer may take as long again.
+        """Record received bytes and extend the timeout.
 
         Args:
-            size: How many bytes of the body they are.
+            size: Number of bytes of the body.
         """
         self.received += size
         now = asyncio.get_running_loop().time()
         self.last_received_at = now
         self.first_received_at = self.first_received_at or now
-        longest = self.first_received_at + MAX_ANSWER_SECONDS
-        self._timeout.reschedule(min(now + MAX_SILENCE_SECONDS, longest))
+        deadline = self.first_received_at + MAX_ANSWER_SECONDS
+        self._timeout.reschedule(min(now + MAX_SILENCE_SECONDS, deadline))
         if self.call.on_bytes is not None:
             self.call.on_bytes()
 
     def is_silent(self, seconds: float) -> bool:
-        """Whether nothing came for so long."""
+        """Return whether nothing was received for this time."""
         if self.last_received_at is None:
             return True
         return asyncio.get_running_loop().time() - self.last_received_at >= seconds
 
     def is_slow(self) -> bool:
-        """Whether the answer, at the rate so far, takes too long on this way."""
+        """Return whether the answer takes too long at the rate measured so far."""
         if self.first_received_at is None:
             return False
-        passed = asyncio.get_running_loop().time() - self.first_received_at
-        if passed < MIN_MEASURED_SECONDS:
+        elapsed = asyncio.get_running_loop().time() - self.first_received_at
+        if elapsed < MIN_MEASURED_SECONDS:
             return False
-        whole = passed * self.length / max(self.received, 1)
-        return max(whole, passed) > MAX_TRANSFER_SECONDS
+        estimate = elapsed * self.length / max(self.received, 1)
+        return max(estimate, elapsed) > MAX_TRANSFER_SECONDS
--- a/packages/fleet/src/ibisport_fleet/store_paths.py
+++ b/packages/fleet/src/ibisport_fleet/store_paths.py
@@ -1,4 +1,4 @@
-"""Which way a store call takes: straight, or through a relay."""
+"""Ranks the paths to the store: the direct path and the relays."""
 
 import random
 from collections import Counter
@@ -10,19 +10,19 @@
 
 from ibisport_fleet.addresses import Address
 
-# A way that failed is tried last for so long.
+# A path that failed is ranked last for this time.
 FAILED_PATH_BACKOFF_SECONDS = 2.0
-# A relay that failed isn't asked for shared watches for so long: while it is silent,
-# each costs its whole time-out.
+# A relay that failed isn't used for shared watches for this time: while it doesn't
+# respond, each watch costs the full timeout.
 SHARED_BACKOFF_SECONDS = 10.0
-# A host on which no relay listens is tried ever more rarely, up to so many doublings.
+# The backoff of a host on which no relay listens doubles up to this many times.
 MAX_BACKOFF_DOUBLINGS = 6
-# Ways that one call may take before it is given up.
+# Paths that a call may try before it fails.
 MAX_PATHS = 3
 
 
 class CallKind(Enum):
-    """What a call asks of the store; the store counts them, some for less."""
+    """Kind of a store call; the store's quota charges some kinds less than others."""
 
     read = 'read'
     list_all = 'list'
@@ -37,33 +37,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayEndpoint:
-    """Where a relay may listen; whether one does shows when it is tried."""
+    """Address at which a relay may listen; only a connection attempt shows it."""
 
     address: Address
     domain: str
 
 
 class StorePaths:
-    """The ways to the store, best first.
+    """Paths to the store, best first.
 
     A partition often cuts a router off from the store but not from the hosts of
-    its targets; relays there pass its calls on. The straight way is taken up
+    its targets; relays on these hosts forward its calls. The direct path is used
     again as soon as a probe succeeds.
 
     Attributes:
-        straight: The store's own address.
-        straight_works: The last call on the straight way was answered.
-        on_straight_lost: Called when the straight way stops to work, if set.
-        sent: Tries of calls by kind, and whether they went straight.
+        direct: Address of the store.
+        direct_works: Whether the last call on the direct path was answered.
+        on_direct_lost: Called when the direct path stops working, if set.
+        attempt_counts: Attempts by kind of call and whether they went direct.
     """
 
     def __init__(
         self,
-        straight: Address,
+        direct: Address,
         domain: str,
         list_relays: Callable[[], Iterable[RelayEndpoint]],
     ) -> None:
-        self.direct = straight
+        self.direct = direct
         self.direct_works = True
         self.on_direct_lost: Callable[[], None] | None = None
         self.attempt_counts: Counter[tuple[CallKind, bool]] = Counter()
@@ -77,39 +77,39 @@
     def list_shared_paths(self, prefix: str, now: float) -> list[Address]:
         """Return the addresses to try for a watch that routers share, best first.
 
-        All routers of a domain rank its relays alike, so they ask the same one. Where
-        they don't, the store is asked once more.
+        All routers of a failure domain rank its relays by the same hash, so they use
+        the same relay. Where their lists differ, the store gets one more watch.
 
         Args:
-            prefix: What is watched; prefixes lie at different relays.
+            prefix: The watched prefix; different prefixes may map to different relays.
             now: Loop time.
         """
         usable = [
-            place.address
-            for place in self._list_relays()
-            if place.domain == self._domain
-            and self._shared_backoff_until.get(place.address, 0.0) <= now
+            endpoint.address
+            for endpoint in self._list_relays()
+            if endpoint.domain == self._domain
+            and self._shared_backoff_until.get(endpoint.address, 0.0) <= now
         ]
-        usual = self.list_paths(now)
+        paths = self.list_paths(now)
         if not usable:
-            return usual
-        first = min(usable, key=lambda one: _hash_text(f'{prefix}|{one}'))
-        return [first, *(one for one in usual if one != first)][:MAX_PATHS]
+            return paths
+        first = min(usable, key=lambda relay: _hash_text(f'{prefix}|{relay}'))
+        return [first, *(path for path in paths if path != first)][:MAX_PATHS]
 
     def list_paths(self, now: float) -> list[Address]:
-        """Return the addresses to try for one call, best first."""
+        """Return the addresses to try for a call, best first."""
         relays = self._rank_relays(now)
         if self.direct_works:
             return [self.direct, *relays][:MAX_PATHS]
-        # A last try straight, in case the relays are what is broken.
+        # The direct path comes last, in case the relays are what fails.
         return [*relays[: MAX_PATHS - 1], self.direct]
 
     def count_attempt(self, kind: CallKind, address: Address) -> None:
-        """Count a try of a call on a way."""
+        """Count an attempt of a call on a path."""
         self.attempt_counts[kind, address == self.direct] += 1
 
     def record_answer(self, address: Address) -> None:
-        """Note that a call was answered on a way."""
+        """Record that a call was answered on a path."""
         self._backoff_until.pop(address, None)
         self._missing_counts.pop(address, None)
         if address == self.direct:
@@ -118,11 +118,11 @@
             self._working_relay = address
 
     def record_shared_failure(self, address: Address, now: float) -> None:
-        """Note that a shared watch failed on a way, and then not on another one."""
+        """Record that a shared watch failed on a path and succeeded on another."""
         self._shared_backoff_until[address] = now + SHARED_BACKOFF_SECONDS
 
     def record_missing_relay(self, address: Address, now: float) -> None:
-        """Note that no relay listens at an address."""
+        """Record that no relay listens at an address."""
         doublings = min(self._missing_counts[address], MAX_BACKOFF_DOUBLINGS)
         self._missing_counts[address] += 1
         self._shared_backoff_until[address] = (
@@ -130,7 +130,7 @@
         )
 
     def record_failure(self, address: Address, now: float) -> None:
-        """Note that a call failed on a way."""
+        """Record that a call failed on a path."""
         self._backoff_until[address] = now + FAILED_PATH_BACKOFF_SECONDS
         if address == self._working_relay:
             self._working_relay = None
@@ -140,15 +140,20 @@
                 self.on_direct_lost()
 
     def _rank_relays(self, now: float) -> list[Address]:
-        places = {place.address: place.domain for place in self._list_relays()}
-        shuffled = random.sample(list(places), len(places))
-        return sorted(shuffled, key=lambda one: self._build_rank(one, places[one], now))
+        domains = {
+            endpoint.address: endpoint.domain for endpoint in self._list_relays()
+        }
+        shuffled = random.sample(list(domains), len(domains))
+        return sorted(
+            shuffled,
+            key=lambda relay: self._build_rank(relay, domains[relay], now),
+        )
 
     def _build_rank(
         self, address: Address, domain: str, now: float
     ) -> tuple[bool, ...]:
-        avoided = self._backoff_until.get(address, 0) > now
-        return (avoided, address != self._working_relay, domain != self._domain)
+        backing_off = self._backoff_until.get(address, 0) > now
+        return (backing_off, address != self._working_relay, domain != self._domain)
 
 
 def _hash_text(text: str) -> int:
--- a/packages/fleet/src/ibisport_fleet/watch_cache.py
+++ b/packages/fleet/src/ibisport_fleet/watch_cache.py
@@ -1,7 +1,7 @@
-"""One watch of the store for all who ask a relay for the changes of a prefix.
+"""Shares one watch of the store among all callers that watch a prefix at a relay.
 
-Routers of a failure domain ask the same relay, so the store is asked as often as
-something changes, and not as often as that for each router.
+Routers of a failure domain use the same relay, so the number of calls to the store
+depends on how often something changes, and not on the number of routers.
 """
 
 import asyncio
@@ -13,32 +13,37 @@
 from ibisport_fleet.store import Change, Item, Store, WatchOptions, WatchResult
 from ibisport_fleet.watch_schedule import WatchSchedule, plan_relay_watch
 
-# What is kept for routers that lag; who lags further is passed on to the store.
+# Kept for routers that lag; calls of routers that lag further go on to the store.
 MAX_KEPT_BYTES = 4_194_304
 MAX_KEPT_CHANGES = 2_000
-# Routers follow a few prefixes; what asks for more is no router.
+# Routers watch a few prefixes; a caller that asks for more is no router.
 MAX_PREFIXES = 8
 
 
 class SharedWatch:
-    """One prefix: its changes since a revision, and who waits for the next ones."""
+    """A watch of one prefix: its recent changes and the callers that wait for more."""
 
     def __init__(
-        self, store: Store, prefix: str, after: int, pace: WatchSchedule, log: EventLog
+        self,
+        store: Store,
+        prefix: str,
+        after: int,
+        schedule: WatchSchedule,
+        log: EventLog,
     ) -> None:
-        """Begin to watch.
+        """Start watching.
 
         Args:
-            store: Where the changes come from.
-            prefix: What the keys begin with.
-            after: The revision from which on all changes are kept.
-            pace: How the store is asked.
-            log: Where the begin and the end are written.
+            store: Store that is watched.
+            prefix: Prefix of the keys.
+            after: Revision after which all changes are kept.
+            schedule: Intervals and timeouts of the calls to the store.
+            log: Receives the start and the end of the watch.
         """
         loop = asyncio.get_running_loop()
         self._store = store
         self._prefix = prefix
-        self._schedule = pace
+        self._schedule = schedule
         self._log = log
         self._kept: deque[Change] = deque()
         self._kept_bytes = 0
@@ -46,7 +51,7 @@
         self._revision = after
         self._last_answer_at = loop.time()
         self._last_request_at = loop.time()
-        # Loop time by which the answer that is on its way must be whole.
+        # Loop time by which the answer in progress must be complete; 0 if none is.
         self._answer_deadline = 0.0
         self._waiting = 0
         self._failure: StoreError | None = None
@@ -55,23 +60,23 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing new will come."""
+        """Whether the watch has ended and brings no more changes."""
         return self._failure is not None
 
     @property
     def _unused_at(self) -> float:
-        """Loop time from which nobody seems to ask any more."""
+        """Loop time from which the watch counts as unused."""
         return self._last_request_at + self._schedule.timeout_seconds
 
     def covers(self, after: int) -> bool:
-        """Whether all changes after a revision are kept."""
+        """Return whether all changes after a revision are kept."""
         return after >= self._kept_after
 
     async def wait_for_changes(self, after: int, wait: float) -> WatchResult:
-        """Return the changes after a revision, as the store's own watch does.
+        """Return the changes after a revision, as a watch of the store does.
 
-        An answer without changes is given only if the store has answered meanwhile:
-        who asks takes it for a sign that the store can be reached.
+        An empty result is returned only if the store has answered since the call:
+        the caller takes it as proof that the store can be reached.
 
         Raises:
             StoreUnavailable: The store doesn't answer.
@@ -84,27 +89,28 @@
             self._waiting -= 1
 
     async def _wait_for_changes(
-        self, after: int, asked_at: float, wait: float
+        self, after: int, requested_at: float, wait: float
     ) -> WatchResult:
         loop = asyncio.get_running_loop()
-        until = asked_at + wait
+        deadline = requested_at + wait
         while True:
-            changes = tuple(one for one in self._kept if one.revision > after)
+            changes = tuple(change for change in self._kept if change.revision > after)
             if changes:
                 return WatchResult(changes, max(after, self._revision))
             if self._failure is not None:
                 raise StoreUnavailable(repr(self._failure))
-            due = loop.time() >= until
-            if due and self._last_answer_at >= asked_at:
+            expired = loop.time() >= deadline
+            if expired and self._last_answer_at >= requested_at:
                 return WatchResult((), max(after, self._revision))
-            # The next answer of the store, or its failure, is bounded in time.
-            await self._wait_for_update(None if due else until)
+            # After the deadline, the store's next answer or failure ends the wait;
+            # the watch's own timeout bounds it.
+            await self._wait_for_update(None if expired else deadline)
 
-    async def _wait_for_update(self, until: float | None) -> None:
-        news = self._updated
+    async def _wait_for_update(self, deadline: float | None) -> None:
+        updated = self._updated
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(until):
-                await news.wait()
+            async with asyncio.timeout_at(deadline):
+                await updated.wait()
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
@@ -112,14 +118,14 @@
             Event.watch_shared, prefix=self._prefix, revision=self._kept_after
         )
         try:
-            # A prefix that nobody asks for any more isn't watched.
+            # The watch ends when no caller has asked for the prefix for a while.
             while self._waiting or loop.time() < self._unused_at:
                 await self._watch_once()
-            self._failure = StoreUnavailable('nobody asked')
+            self._failure = StoreUnavailable('no calls for the prefix')
         except (StoreError, TimeoutError) as error:
             self._failure = StoreUnavailable(repr(error))
         finally:
-            # Whatever ended it, nobody may wait for what doesn't come.
+            # However the watch ended, no caller may wait for changes that never come.
             self._failure = self._failure or StoreUnavailable('the watch has ended')
             self._notify_waiters()
             self._log.write(
@@ -132,35 +138,37 @@
 
     async def _watch_once(self) -> None:
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        async with asyncio.timeout_at(begun + self._schedule.timeout_seconds) as timer:
+        started_at = loop.time()
+        async with asyncio.timeout_at(
+            started_at + self._schedule.timeout_seconds
+        ) as timeout:
             self._answer_deadline = 0.0
-            terms = WatchOptions(
-                self._schedule.wait, on_bytes=lambda: self._extend_timeout(timer)
+            options = WatchOptions(
+                self._schedule.wait, on_bytes=lambda: self._extend_timeout(timeout)
             )
-            found = await self._store.watch(self._prefix, self._revision, terms)
-        for change in found.changes:
+            result = await self._store.watch(self._prefix, self._revision, options)
+        for change in result.changes:
             self._append(change)
-        self._revision = max(self._revision, found.revision)
+        self._revision = max(self._revision, result.revision)
         self._last_answer_at = loop.time()
         self._notify_waiters()
-        if found.changes:
-            # Changes that follow each other closely come together.
-            await asyncio.sleep(begun + self._schedule.min_interval - loop.time())
+        if result.changes:
+            # Changes in quick succession are fetched with one call.
+            await asyncio.sleep(started_at + self._schedule.min_interval - loop.time())
 
-    def _extend_timeout(self, timer: asyncio.Timeout) -> None:
-        """Note that an answer is on its way: a large change may take its time.
+    def _extend_timeout(self, timeout: asyncio.Timeout) -> None:
+        """Extend the timeout of an answer in progress: a large change takes time.
 
         Args:
-            timer: What gives the answer up.
+            timeout: Timeout of the call.
         """
         now = asyncio.get_running_loop().time()
         self._last_answer_at = now
         self._answer_deadline = (
             self._answer_deadline or now + self._schedule.max_answer_seconds
         )
-        if not timer.expired():
-            timer.reschedule(
+        if not timeout.expired():
+            timeout.reschedule(
                 min(now + self._schedule.timeout_seconds, self._answer_deadline)
             )
 
@@ -173,30 +181,33 @@
             self._kept_after = max(self._kept_after, dropped.revision)
 
     def _notify_waiters(self) -> None:
-        news, self._updated = self._updated, asyncio.Event()
-        news.set()
+        updated, self._updated = self._updated, asyncio.Event()
+        updated.set()
 
 
 class WatchCache:
-    """The prefixes that a relay watches."""
+    """The shared watches of a relay, by prefix."""
 
-    def __init__(self, store: Store, change_bound: float, log: EventLog) -> None:
-        """Begin with none.
+    def __init__(
+        self, store: Store, max_propagation_delay: float, log: EventLog
+    ) -> None:
+        """Start without any watch.
 
         Args:
-            store: Where the changes come from.
-            change_bound: Longest time after which a change must be in force, seconds.
-            log: Where the begin and the end of each watch are written.
+            store: Store that is watched.
+            max_propagation_delay: Maximum time until a change takes effect, seconds.
+            log: Receives the start and the end of each watch.
         """
         self._store = store
-        self._schedule = plan_relay_watch(change_bound)
+        self._schedule = plan_relay_watch(max_propagation_delay)
         self._log = log
         self._watches: dict[str, SharedWatch] = {}
 
     def find(self, prefix: str, after: int) -> SharedWatch | None:
-        """Return the watch of a prefix.
+        """Return the watch of a prefix, started if needed.
 
-        None if it lacks changes after a revision, or if too many are watched.
+        None if it lacks changes after the revision, or if too many prefixes are
+        watched.
         """
         self._watches = {
             name: watch for name, watch in self._watches.items() if not watch.ended
