--- a/packages/fleet/src/ibisport_fleet/http_connection.py
+++ b/packages/fleet/src/ibisport_fleet/http_connection.py
@@ -58,7 +58,7 @@
         self.keep_alive = False
         self._channel = channel
         self._events: deque[_AnswerEvent] = deque()
-        self._reset_parser()
+        self._init_parser()
 
     @property
     def channel(self) -> Channel:
@@ -193,7 +193,7 @@
         self._parsing = False
         self._events.append(_AnswerEnd())
 
-    def _reset_parser(self) -> None:
+    def _init_parser(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._parsing = False
         self._framed = True
