--- a/packages/fleet/src/ibisport_fleet/relay.py
+++ b/packages/fleet/src/ibisport_fleet/relay.py
@@ -1,11 +1,11 @@
-"""Passes store calls on for routers that can't reach the store themselves.
+"""Forwards store calls for routers that can't reach the store themselves.
 
-A router that is cut off from the store, or that the store turns away, still
-reaches the hosts of its targets, and these may still reach the store. A relay
-sends a call on and its answer back.
+A router that is cut off from the store, or that the store throttles, still reaches
+the hosts of its targets, and these may still reach the store. A relay forwards a call
+and returns its answer.
 
-Watches are not sent on one by one: routers of a failure domain ask the same relay for
-the changes of a prefix, and it asks the store once for all of them.
+Watches aren't forwarded individually: routers of a failure domain ask the same relay
+for the changes of a prefix, and it watches the store once for all of them.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.content_coding import (
     accepts_coding,
-    drop_accepted,
+    drop_accept_encoding,
     encode_body,
 )
 from ibisport_fleet.errors import FleetError, StoreError
@@ -36,43 +36,44 @@
 from ibisport_fleet.request_reader import RequestReader
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.store import Store, WatchResult
-from ibisport_fleet.store_call import LONGEST_ANSWER_S, LONGEST_SILENCE_S
+from ibisport_fleet.store_call import MAX_ANSWER_SECONDS, MAX_SILENCE_SECONDS
 from ibisport_fleet.watch_cache import WatchCache
 
-# A call that waits for changes takes up to 1.5 s; no caller waits beyond this.
-MOST_CALL_SECONDS = 3.0
-# Routers keep their connections; one that was silent for so long is dropped.
-IDLE_SECONDS = 60.0
-# Kept back of the grace, for the end of the process itself.
+# A call that waits for changes takes up to 1.5 s; no caller waits longer than this.
+MAX_CALL_SECONDS = 3.0
+# Routers keep their connections open; idle ones are closed after this time.
+IDLE_TIMEOUT_SECONDS = 60.0
+# Part of the stop grace that is reserved for the exit of the process itself.
 EXIT_MARGIN_SECONDS = 0.5
-# How often a leaving relay looks whether its last answers are sent: an answer takes
-# 4 ms, and nobody waits for the process to end.
-LEAVE_CHECK_S = 0.02
-# The store has not seen the call: the router takes another way at once.
+# Interval at which a draining relay checks whether its last answers are sent. An answer
+# takes 4 ms, but nothing waits for the process to exit.
+DRAIN_POLL_SECONDS = 0.02
+# The store hasn't received the call: the router tries another path at once.
 REFUSAL = (
     b'HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n'
     b'connection: close\r\n\r\n'
 )
-# The store doesn't answer; the connection can be kept.
+# The store doesn't answer; the connection stays open.
 UNAVAILABLE = b'HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n'
 CLOSE: Headers = ((b'connection', b'close'),)
-# Answers to watches that are kept for the next router.
-MOST_DUMPED = 4
-# An interim answer (RFC 2518, section 10.1) each so often while a long one comes.
+# Encoded answers to watches that are kept for the other routers.
+MAX_CACHED_ANSWERS = 4
+# Interim answer (RFC 2518, section 10.1), sent periodically while a long answer
+# arrives.
 PROCESSING = b'HTTP/1.1 102 Processing\r\n\r\n'
-PROGRESS_PERIOD_S = 0.25
-# The largest value of the store, encoded, and its frame.
-RELAY_LIMITS = Limits(max_body_bytes=2_097_152, idle_seconds=IDLE_SECONDS)
+PROGRESS_INTERVAL_SECONDS = 0.25
+# Fits the largest value of the store, encoded, with its framing.
+RELAY_LIMITS = Limits(max_body_bytes=2_097_152, idle_seconds=IDLE_TIMEOUT_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
 class WatchCall:
-    """What a watch asks for.
+    """Parameters of a watch call.
 
     Attributes:
-        prefix: What the keys begin with.
-        after: Revision after which changes are wanted.
-        wait: Longest wait for a change, seconds.
+        prefix: Prefix of the keys.
+        after: Revision after which changes are requested.
+        wait: Maximum wait for a change, seconds.
     """
 
     prefix: str
@@ -80,89 +81,89 @@
     wait: float
 
 
-class WatchWire(Protocol):
-    """How a platform's watch calls go over a connection."""
+class WatchCodec(Protocol):
+    """Codec of a platform's watch calls."""
 
     def decode_watch_call(self, request: Request) -> WatchCall | None:
-        """Return what a watch call asks for; None if it is another call."""
+        """Return the parameters of a watch call; None if it is another call."""
 
-    def encode_result(self, changes: WatchResult) -> tuple[Headers, bytes]:
+    def encode_result(self, result: WatchResult) -> tuple[Headers, bytes]:
         """Return the headers and the body of the answer to a watch call."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayAdapters:
-    """What a platform's adapter provides.
+    """Platform-specific parts of a relay.
 
     Attributes:
-        open_store: Opens the store, straight.
-        watches: The wire of watch calls.
+        open_store: Opens the store on the direct path.
+        watch_codec: Codec of watch calls.
     """
 
     open_store: Callable[[EventLog], Store]
-    watches: WatchWire
+    watch_codec: WatchCodec
 
 
 class Relay:
-    """Accepts routers' connections and sends their calls on to the store.
+    """Accepts connections of routers and forwards their calls to the store.
 
     Attributes:
-        connections: The connections of routers.
-        in_flight: Calls that were passed on and have no answer yet.
+        connections: Connections of routers.
+        in_flight: Number of calls that have no answer yet.
     """
 
     def __init__(
         self, settings: HostSettings, adapters: RelayAdapters, log: EventLog
     ) -> None:
         self._store_address = settings.store_address
-        self._wire = adapters.watches
+        self._watch_codec = adapters.watch_codec
         store = adapters.open_store(log)
         self._watches = WatchCache(store, settings.bounds.max_propagation_delay, log)
-        # Routers that wait for the same changes get the same bytes.
-        self._dump = lru_cache(MOST_DUMPED)(self._dump_watch)
-        self._idle: list[HttpConnection] = []
-        self._leaving = False
-        # Connections on which no call is passed on, with what they read.
-        self._waiting: dict[Channel, RequestReader] = {}
+        # Routers that wait for the same changes get the same encoded answer.
+        self._encode_cached = lru_cache(MAX_CACHED_ANSWERS)(self._encode_watch_answer)
+        self._idle_connections: list[HttpConnection] = []
+        self._draining = False
+        # Readers of the connections on which no call is being served.
+        self._readers: dict[Channel, RequestReader] = {}
         self.connections = ConnectionTasks(self._serve, 'relay', log)
         self.in_flight = 0
 
-    async def drain(self, until: float) -> None:
-        """Take no new calls, and wait for the answers of those passed on.
+    async def drain(self, deadline: float) -> None:
+        """Accept no new calls, and wait until those in flight are answered.
 
-        A call that is cut off is one of unknown outcome: its router has to find out
-        whether a write of a budget was done.
+        The outcome of a call that is cut off is unknown: its router has to find out
+        whether a write of a budget was executed.
 
         Args:
-            until: Loop time by which the answers must be out.
+            deadline: Loop time by which the answers must be sent.
         """
         loop = asyncio.get_running_loop()
-        until = min(until, loop.time() + MOST_CALL_SECONDS)
-        self._leaving = True
-        for channel, reader in tuple(self._waiting.items()):
+        deadline = min(deadline, loop.time() + MAX_CALL_SECONDS)
+        self._draining = True
+        for channel, reader in tuple(self._readers.items()):
             if not (reader.has_partial_request or channel.has_unread):
                 channel.close()
-        while len(self.connections) and loop.time() < until:
-            await asyncio.sleep(LEAVE_CHECK_S)
+        while len(self.connections) and loop.time() < deadline:
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def _serve(self, channel: Channel) -> None:
         reader = RequestReader(channel, RELAY_LIMITS)
         try:
             await self._serve_calls(reader, channel)
         except (FleetError, TimeoutError):
-            # The router sees its connection end: the call may have been executed.
+            # The reset tells the router that the call may have been executed.
             channel.abort()
 
     async def _serve_calls(self, reader: RequestReader, channel: Channel) -> None:
-        while not self._leaving:
-            self._waiting[channel] = reader
+        while not self._draining:
+            self._readers[channel] = reader
             try:
                 request = await reader.read()
             finally:
-                self._waiting.pop(channel, None)
+                self._readers.pop(channel, None)
             if request is None:
                 return
-            if self._leaving:
+            if self._draining:
                 channel.write(REFUSAL)
                 break
             self.in_flight += 1
@@ -170,104 +171,106 @@
                 await self._answer(request, channel)
             finally:
                 self.in_flight -= 1
-        # What is still buffered when the process ends is lost.
+        # Data that is still buffered when the process exits is lost.
         while not (channel.flushed or channel.ended):
-            await asyncio.sleep(LEAVE_CHECK_S)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def _answer(self, request: Request, channel: Channel) -> None:
-        asked = self._wire.decode_watch_call(request)
-        watch = None if asked is None else self._watches.find(asked.prefix, asked.after)
-        if asked is None or watch is None:
-            await self._pass_on(request, channel)
+        call = self._watch_codec.decode_watch_call(request)
+        watch = None if call is None else self._watches.find(call.prefix, call.after)
+        if call is None or watch is None:
+            await self._forward(request, channel)
             return
         try:
-            changes = await watch.ask(asked.after, asked.wait)
+            result = await watch.wait_for_changes(call.after, call.wait)
         except StoreError:
             channel.write(UNAVAILABLE)
             return
-        channel.write(self._dump(changes, accepts_coding(request)))
+        channel.write(self._encode_cached(result, accepts_coding(request)))
 
-    def _dump_watch(self, changes: WatchResult, coded: bool) -> bytes:
-        """Return the whole answer to a watch call."""
-        return _dump_answer(
-            HTTPStatus.OK, *self._wire.encode_result(changes), coded=coded
+    def _encode_watch_answer(self, result: WatchResult, coded: bool) -> bytes:
+        """Return the encoded answer to a watch call."""
+        return _encode_answer(
+            HTTPStatus.OK, *self._watch_codec.encode_result(result), coded=coded
         )
 
-    async def _pass_on(self, request: Request, channel: Channel) -> None:
-        deadline = asyncio.get_running_loop().time() + MOST_CALL_SECONDS
-        exchange = await self._take(deadline)
-        start = f'{request.method} '.encode() + request.target + b' HTTP/1.1'
-        headers = drop_accepted(drop_connection_headers(request.headers))
+    async def _forward(self, incoming: Request, channel: Channel) -> None:
+        deadline = asyncio.get_running_loop().time() + MAX_CALL_SECONDS
+        connection = await self._acquire(deadline)
+        request_line = f'{incoming.method} '.encode() + incoming.target + b' HTTP/1.1'
+        headers = drop_accept_encoding(drop_connection_headers(incoming.headers))
         try:
-            async with asyncio.timeout_at(deadline) as timer:
-                progress = _Progress(channel, timer)
-                answer = await exchange.request(start, headers, request.body, progress)
+            async with asyncio.timeout_at(deadline) as timeout:
+                progress = _ProgressReporter(channel, timeout)
+                answer = await connection.request(
+                    request_line, headers, incoming.body, progress
+                )
         except BaseException:
-            exchange.close()
+            connection.close()
             raise
-        if exchange.answered and exchange.reusable:
-            self._idle.append(exchange)
+        if connection.keep_alive and connection.reusable:
+            self._idle_connections.append(connection)
         else:
-            exchange.close()
-        ending = CLOSE if self._leaving else ()
-        kept = (*drop_connection_headers(answer.head.headers), *ending)
-        coded = accepts_coding(request)
-        whole = _dump_answer(answer.head.status, kept, answer.body, coded=coded)
-        channel.write(whole)
-
-    async def _take(self, deadline: float) -> HttpConnection:
-        while self._idle:
-            exchange = self._idle.pop()
-            if exchange.reusable:
-                return exchange
-            exchange.close()
+            connection.close()
+        closing = CLOSE if self._draining else ()
+        kept = (*drop_connection_headers(answer.head.headers), *closing)
+        coded = accepts_coding(incoming)
+        encoded = _encode_answer(answer.head.status, kept, answer.body, coded=coded)
+        channel.write(encoded)
+
+    async def _acquire(self, deadline: float) -> HttpConnection:
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if connection.reusable:
+                return connection
+            connection.close()
         return await open_http_connection(self._store_address, deadline)
 
 
-class _Progress:
-    """Tells a router that the answer to its call is on its way.
+class _ProgressReporter:
+    """Sends a router interim answers while the answer to its call arrives.
 
-    The whole answer is coded before it is sent, and the router would take the relay
-    for silent meanwhile.
+    The relay receives and compresses the whole answer before it sends any of it;
+    without interim answers the router would time out meanwhile.
     """
 
-    def __init__(self, channel: Channel, timer: asyncio.Timeout) -> None:
-        """Begin before the answer does.
+    def __init__(self, channel: Channel, timeout: asyncio.Timeout) -> None:
+        """Prepare for an answer that hasn't begun.
 
         Args:
-            channel: The router's connection.
-            timer: What ends the call when its answer falls silent.
+            channel: Connection of the router.
+            timeout: Ends the call when its answer stops arriving.
         """
         self._channel = channel
-        self._timer = timer
-        self._told_at = 0.0
-        self._until = 0.0
+        self._timeout = timeout
+        self._reported_at = 0.0
+        self._deadline = 0.0
 
-    def take_head(self, head: AnswerHead) -> None:
-        """Note that the answer has begun."""
-        self._told_at = asyncio.get_running_loop().time()
-        self._until = self._told_at + LONGEST_ANSWER_S
+    def handle_head(self, head: AnswerHead) -> None:
+        """Record that the answer has begun."""
+        self._reported_at = asyncio.get_running_loop().time()
+        self._deadline = self._reported_at + MAX_ANSWER_SECONDS
 
-    def note_bytes(self, size: int) -> None:
-        """Note that so many bytes of the body came."""
+    def handle_bytes(self, size: int) -> None:
+        """Extend the timeout, and report progress if a report is due."""
         now = asyncio.get_running_loop().time()
-        self._timer.reschedule(min(now + LONGEST_SILENCE_S, self._until))
-        if now >= self._told_at + PROGRESS_PERIOD_S:
-            self._told_at = now
+        self._timeout.reschedule(min(now + MAX_SILENCE_SECONDS, self._deadline))
+        if now >= self._reported_at + PROGRESS_INTERVAL_SECONDS:
+            self._reported_at = now
             self._channel.write(PROCESSING)
 
 
-def _dump_answer(status: int, headers: Headers, body: bytes, *, coded: bool) -> bytes:
-    """Return a whole answer.
+def _encode_answer(status: int, headers: Headers, body: bytes, *, coded: bool) -> bytes:
+    """Return an encoded answer.
 
     Args:
-        status: Its status.
-        headers: Its headers, but for the length.
-        body: Its body.
-        coded: The router decodes bodies.
+        status: HTTP status.
+        headers: Headers, without the content length.
+        body: Body.
+        coded: Whether the router accepts compressed bodies.
     """
     if coded:
         headers, body = encode_body(headers, body)
     length = (b'content-length', b'%d' % len(body))
-    first = b'HTTP/1.1 %d Relayed' % status
-    return encode_head(first, (*headers, length)) + body
+    status_line = b'HTTP/1.1 %d Relayed' % status
+    return encode_head(status_line, (*headers, length)) + body
