--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -19,8 +19,8 @@
 REQUEST_TOKENS = 2_000
 WORKSPACES = 24
 # A call takes 10 ms instead of 4.
-SLOWER = 2.5
-QUIET_SECONDS = 12.0
+STORE_SLOWDOWN = 2.5
+RECOVERY_SECONDS = 12.0
 KILL_SECONDS = 0.002
 
 FAULTS = strategies.sampled_from(
@@ -52,10 +52,10 @@
 
 
 # The loop keeps no reference to a task.
-ROLLS = set()
+RESTART_TASKS = set()
 
 
-async def _press(world, seconds, per_second, rng):
+async def _send_mixed_requests(world, seconds, per_second, rng):
     """Send requests to all hosts for some seconds."""
     for _ in range(int(seconds * per_second)):
         tokens = rng.choice((500, REQUEST_TOKENS, 9_000, 40_000))
@@ -63,14 +63,14 @@
         await asyncio.sleep(1 / per_second)
 
 
-async def _ask_evenly(world, count, rng):
+async def _send_usual_requests(world, count, rng):
     """Send usual requests to all hosts, 30 a second."""
     for _ in range(count):
         world.ask(rng.randrange(5), REQUEST_TOKENS, 0.9, 0.3)
         await asyncio.sleep(1 / 30)
 
 
-def _roll(world, fault, number):
+def _start_rolling_restart(world, fault, number):
     """Stop one host's process, or all in turn; they leave while callers go on."""
 
     async def leave(turn, number):
@@ -79,10 +79,10 @@
 
     hosts = [number] if fault == 'roll' else range(5)
     for turn, host in enumerate(hosts):
-        ROLLS.add(asyncio.get_running_loop().create_task(leave(turn, host)))
+        RESTART_TASKS.add(asyncio.get_running_loop().create_task(leave(turn, host)))
 
 
-async def _hurt(world, fault, number, seconds, rng):
+async def _inject_fault(world, fault, number, seconds, rng):
     faults = world.service.faults
     match fault:
         case 'kill':
@@ -93,7 +93,7 @@
         case 'stop':
             await world.stop(number)
         case 'roll' | 'roll all':
-            _roll(world, fault, number)
+            _start_rolling_restart(world, fault, number)
         case 'cut':
             faults.cut = {world.names[number]}
         case 'cut all':
@@ -110,13 +110,13 @@
             faults.lose = 0.3
         case 'late':
             faults.late = 0.3
-    await _press(world, seconds, 20, rng)
+    await _send_mixed_requests(world, seconds, 20, rng)
     faults.cut, faults.down, faults.slow = set(), False, 1.0
     faults.lose = faults.late = world.lose_loans = 0.0
     world.apart = set()
 
 
-async def _play(steps, seed):
+async def _run_faults(steps, seed):
     # The product spreads its pauses by the module's own generator.
     random.seed(seed)
     world = BudgetWorld(hosts=5, budget=BUDGET, seed=seed)
@@ -124,14 +124,14 @@
     world.start_all()
     await asyncio.sleep(0.5)
     for fault, number, seconds in steps:
-        await _hurt(world, fault, number, seconds, rng)
+        await _inject_fault(world, fault, number, seconds, rng)
         assert world.delivered <= BUDGET, (world.delivered, steps)
-        await _press(world, 1.0, 20, rng)
+        await _send_mixed_requests(world, 1.0, 20, rng)
     assert world.delivered <= BUDGET, (world.delivered, steps)
     return world
 
 
-async def _spend_third(per_second=30):
+async def _run_until_third_spent(per_second=30):
     random.seed(3)
     world = BudgetWorld(hosts=5, budget=BUDGET, seed=3)
     rng = random.Random(3)
@@ -155,7 +155,7 @@
 
 
 @given('routers that share one budget in virtual time')
-def note_routers(context):
+def start_counting(context):
     context.served = 0
     context.mixtures = 0
 
@@ -171,7 +171,7 @@
     )
     @forall(STEPS, strategies.integers(0, 10_000))
     def play(steps, seed):
-        world = run_virtually(_play(steps, seed))
+        world = run_virtually(_run_faults(steps, seed))
         context.served += world.outcomes['served']
         context.mixtures += 1
 
@@ -196,10 +196,10 @@
         rng = random.Random(7)
         world.start_all()
         await asyncio.sleep(0.5)
-        await _press(world, 3.0, 30, rng)
+        await _send_mixed_requests(world, 3.0, 30, rng)
         for host in range(5):
             world.kill(host)
-        await _press(world, 4.0, 100, rng)
+        await _send_mixed_requests(world, 4.0, 100, rng)
         return world
 
     context.work = run
@@ -226,7 +226,7 @@
 
 @given('5 routers that have spent a third of a budget')
 def spend_third(context):
-    context.prepare = _spend_third
+    context.prepare = _run_until_third_spent
 
 
 @when('all of them are killed at once and start again')
@@ -235,7 +235,7 @@
         world = await context.prepare()
         for host in range(5):
             world.kill(host)
-        await asyncio.sleep(QUIET_SECONDS)
+        await asyncio.sleep(RECOVERY_SECONDS)
         return world
 
     context.world = run_virtually(run())
@@ -253,7 +253,7 @@
     world.kill(world.names.index(lender))
     await asyncio.sleep(6.0)
     world.service.faults.down = False
-    await asyncio.sleep(QUIET_SECONDS)
+    await asyncio.sleep(RECOVERY_SECONDS)
     return world
 
 
@@ -287,7 +287,7 @@
         world.service.faults.slow = 60.0
         await world.stop(0)
         world.service.faults.slow = 1.0
-        await asyncio.sleep(QUIET_SECONDS)
+        await asyncio.sleep(RECOVERY_SECONDS)
         return world
 
     context.world = run_virtually(run())
@@ -306,7 +306,7 @@
         world.outcomes.clear()
         world.service.faults.slow = 60.0
         rng = random.Random(5)
-        await _ask_evenly(world, 150, rng)
+        await _send_usual_requests(world, 150, rng)
         await asyncio.sleep(1.0)
         return world
 
@@ -331,7 +331,7 @@
             world.ask(world.names.index(borrower), REQUEST_TOKENS, 1.0, 5.0)
         await asyncio.sleep(delay / 1_000)
         world.kill(world.names.index(victim))
-        await asyncio.sleep(QUIET_SECONDS)
+        await asyncio.sleep(RECOVERY_SECONDS)
         return world
 
     context.world = run_virtually(run())
@@ -345,7 +345,7 @@
 @given('5 routers of which each reaches the others only')
 def cut_store(context):
     async def run():
-        world = await _spend_third()
+        world = await _run_until_third_spent()
         world.service.faults.down = True
         # The lender's proof of contact has run out then.
         await asyncio.sleep(3.0)
@@ -360,7 +360,7 @@
     async def run():
         world = await context.prepare()
         rng = random.Random(5)
-        await _ask_evenly(world, seconds * 30, rng)
+        await _send_usual_requests(world, seconds * 30, rng)
         await asyncio.sleep(1.0)
         return world
 
@@ -375,7 +375,7 @@
 @given('5 routers whose loans are answered and lost half of the time')
 def lose_loans(context):
     async def run():
-        world = await _spend_third()
+        world = await _run_until_third_spent()
         world.lose_loans = 0.5
         return world
 
@@ -391,7 +391,7 @@
 
 @given('5 routers that share a budget without faults')
 def start_calm(context):
-    context.prepare = _spend_third
+    context.prepare = _run_until_third_spent
 
 
 @then('the store is called less than {most:g} times a second in all')
@@ -400,7 +400,7 @@
         world = await context.prepare()
         rng = random.Random(5)
         before = world.service.calls
-        await _ask_evenly(world, 300, rng)
+        await _send_usual_requests(world, 300, rng)
         return world.service.calls - before
 
     # The stand-in counts the way there and the way back.
@@ -459,7 +459,7 @@
 
 
 @given('budgets that are nearly whole, and 30 routers on narrow links')
-def note_rolls(context):
+def prepare_rolling_restarts(context):
     context.play = play_rolls
 
 
@@ -507,7 +507,7 @@
 def start_at_once(context, few, many):
     async def run(hosts):
         world = BudgetWorld(hosts, BUDGET, 1, WORKSPACES)
-        world.service.faults.slow = SLOWER
+        world.service.faults.slow = STORE_SLOWDOWN
         world.start_all()
         await asyncio.sleep(5.0)
         return world.service.calls / hosts
--- a/features/steps/generated_steps.py
+++ b/features/steps/generated_steps.py
@@ -4,20 +4,20 @@
 from hypothesis import HealthCheck, settings, strategies
 from hypothesis import given as forall
 
-from ibisport_fleet.allowance import Demand, plan_contact_cap, plan_share
 from ibisport_fleet.budget_page import (
     Account,
     BudgetPage,
     Session,
     Share,
     decode_page,
-    dump_page,
+    encode_page,
 )
+from ibisport_fleet.cap_planning import Demand, plan_contact_cap, plan_share
 from ibisport_fleet.errors import RequestInvalid
 from ibisport_fleet.http_messages import AnswerHead, Request
 from ibisport_platform.headers import PlatformDialect
 
-QUIET = settings(
+REPRODUCIBLE = settings(
     deadline=None,
     derandomize=True,
     database=None,
@@ -41,7 +41,7 @@
     )
     context.planned = 0
 
-    @settings(QUIET, max_examples=count)
+    @settings(REPRODUCIBLE, max_examples=count)
     @forall(accounts, tokens, tokens, strategies.floats(0, 10**6), tokens)
     def plan(account, budget, used, rate, wanted):
         demand = Demand(used, rate, wanted)
@@ -82,7 +82,7 @@
     headers = strategies.lists(strategies.tuples(names, contents)).map(tuple)
     context.read = 0
 
-    @settings(QUIET, max_examples=count)
+    @settings(REPRODUCIBLE, max_examples=count)
     @forall(headers)
     def read(head):
         dialect = PlatformDialect()
@@ -103,7 +103,7 @@
 
 
 @when('{count:d} generated pages are written and read')
-def turn_pages(context, count):
+def round_trip_pages(context, count):
     names = strategies.text(min_size=1, max_size=5)
     tokens = strategies.integers(0, 2**50)
     shares = strategies.builds(Share, tokens, tokens, strategies.integers(0, 10**6))
@@ -119,15 +119,15 @@
     )
     context.turned = 0
 
-    @settings(QUIET, max_examples=count)
+    @settings(REPRODUCIBLE, max_examples=count)
     @forall(pages)
     def turn(page):
-        assert decode_page(dump_page(page)) == page
+        assert decode_page(encode_page(page)) == page
         context.turned += 1
 
     turn()
 
 
 @then('each is the same as before')
-def check_turned(context):
+def check_round_trips(context):
     assert context.turned >= 100, context.turned
--- a/features/steps/records_steps.py
+++ b/features/steps/records_steps.py
@@ -13,9 +13,9 @@
 from ibisport_fleet.errors import PeerUnavailable, RecordInvalid
 from ibisport_fleet.eventlog import EventLog
 from ibisport_fleet.fleet_view import TargetView
-from ibisport_fleet.hostrecord import load_record
+from ibisport_fleet.host_record import decode_record
 from ibisport_fleet.loans import Loan, LoanClient, LoanRequest, LoanServer
-from ibisport_fleet.membership import load_member
+from ibisport_fleet.membership import decode_member
 from ibisport_fleet.metadata import PromptPart
 from ibisport_fleet.peers import PeerClient, PeerServer
 from ibisport_fleet.store import Item, Listing, Removal
@@ -60,7 +60,7 @@
 ABSURD = (-1, -(10**9), 2**60)
 
 
-class _Lines:
+class _RecordedLog:
     """Counts the lines of a log."""
 
     def __init__(self):
@@ -90,7 +90,7 @@
 
 @given("a router's list of two targets of which one has failed and holds a prompt")
 def make_view(context):
-    context.log = _Lines()
+    context.log = _RecordedLog()
     context.view = TargetView(decode_target, parse_incarnation, context.log)
 
     def fill(context):
@@ -228,9 +228,9 @@
     readers = (
         decode_target,
         decode_catalogue,
-        load_member,
+        decode_member,
         lambda item: decode_page(item.content),
-        lambda item: load_record(item.content),
+        lambda item: decode_record(item.content),
     )
 
     @settings(
--- a/packages/fleet/src/ibisport_fleet/borrowing.py
+++ b/packages/fleet/src/ibisport_fleet/borrowing.py
@@ -10,14 +10,14 @@
 from ibisport_fleet.membership import Member, Membership
 
 # A lender that needs a write itself answers within 0.6 s while the store is slow.
-LOAN_SECONDS = 0.7
+LOAN_TIMEOUT_SECONDS = 0.7
 # A lender that didn't answer is left alone for so long.
-AVOID_SECONDS = 2.0
+LENDER_BACKOFF_SECONDS = 2.0
 # Lenders that one request asks: the second one takes over from the first.
-MOST_LENDERS = 2
+MAX_LENDERS_PER_REQUEST = 2
 # Borrowed tokens that no request needed for about so long go back, so that they don't
 # lie at many routers in pieces when a budget comes to its end.
-REPAY_PERIOD_S = 0.5
+REPAY_INTERVAL_SECONDS = 0.5
 
 
 class Borrower:
@@ -53,15 +53,15 @@
             return await asyncio.shield(task)
         except asyncio.CancelledError:
             # The caller left; the loan is on its way and serves the next request.
-            task.add_done_callback(self._release)
+            task.add_done_callback(self._settle_abandoned)
             raise
 
-    async def repay(self) -> None:
+    async def run_repayments(self) -> None:
         """Give borrowed tokens back that no request needs, for ever."""
         while True:
-            await asyncio.sleep(REPAY_PERIOD_S)
+            await asyncio.sleep(REPAY_INTERVAL_SECONDS)
             for workspace in tuple(self._lenders):
-                await self._repay_one(workspace)
+                await self._repay_workspace(workspace)
 
     async def repay_all(self) -> None:
         """Give all borrowed tokens back that no request needs.
@@ -73,7 +73,7 @@
         # Waiting doesn't cancel it, and with it its request, if the time runs out.
         if self._tasks:
             await asyncio.wait(self._tasks)
-        await asyncio.gather(*(self._repay_one(name) for name in self._lenders))
+        await asyncio.gather(*(self._repay_workspace(name) for name in self._lenders))
 
     async def _ask_lenders(
         self, workspace: str, tokens: int
@@ -83,11 +83,11 @@
         at_hand = min(purse.borrowed, tokens)
         purse.borrowed -= at_hand
         for member in self._list_lenders(workspace):
-            loan = await self._ask(member, workspace, tokens - at_hand)
+            loan = await self._request_loan(member, workspace, tokens - at_hand)
             if loan is None:
                 continue
             if loan.tokens:
-                self._note_lender(workspace, member)
+                self._set_lender(workspace, member)
                 return Reservation(workspace, tokens, borrowed=True)
             if loan.certain:
                 purse.borrowed += at_hand
@@ -95,27 +95,29 @@
         purse.borrowed += at_hand
         return None
 
-    def _note_lender(self, workspace: str, member: Member) -> None:
+    def _set_lender(self, workspace: str, member: Member) -> None:
         if self._lenders.get(workspace, member) != member:
             # What is left of the loans of another lender can't go back to this one.
             self._ledger.find(workspace).borrowed = 0
         self._lenders[workspace] = member
 
-    async def _ask(self, member: Member, workspace: str, tokens: int) -> Loan | None:
+    async def _request_loan(
+        self, member: Member, workspace: str, tokens: int
+    ) -> Loan | None:
         loop = asyncio.get_running_loop()
         request = LoanRequest(member.incarnation, workspace, tokens)
         try:
             return await self._peers.ask(
-                member.address, request, loop.time() + LOAN_SECONDS
+                member.address, request, loop.time() + LOAN_TIMEOUT_SECONDS
             )
         except PeerUnavailable as error:
-            self._avoid(member, str(error))
+            self._back_off(member, str(error))
             return None
 
     def _list_lenders(self, workspace: str) -> list[Member]:
         now = asyncio.get_running_loop().time()
         members = self._members.current
-        ranked = rank_lenders(members, workspace)[:MOST_LENDERS]
+        ranked = rank_lenders(members, workspace)[:MAX_LENDERS_PER_REQUEST]
         return [
             members[host]
             for host in ranked
@@ -123,12 +125,12 @@
             and self._avoided_until.get(host, 0.0) <= now
         ]
 
-    def _avoid(self, member: Member, reason: str) -> None:
+    def _back_off(self, member: Member, reason: str) -> None:
         now = asyncio.get_running_loop().time()
-        self._avoided_until[member.host] = now + AVOID_SECONDS
+        self._avoided_until[member.host] = now + LENDER_BACKOFF_SECONDS
         self._log.write(Event.lender_lost, lender=member.host, reason=reason)
 
-    async def _repay_one(self, workspace: str) -> None:
+    async def _repay_workspace(self, workspace: str) -> None:
         purse = self._ledger.find(workspace)
         unused, purse.borrowed = purse.borrowed, 0
         lender = self._lenders[workspace]
@@ -137,12 +139,14 @@
         request = LoanRequest(lender.incarnation, workspace, 0, unused)
         loop = asyncio.get_running_loop()
         try:
-            await self._peers.ask(lender.address, request, loop.time() + LOAN_SECONDS)
+            await self._peers.ask(
+                lender.address, request, loop.time() + LOAN_TIMEOUT_SECONDS
+            )
         except PeerUnavailable as error:
             # They count as spent: the lender may or may not have taken them back.
-            self._avoid(lender, str(error))
+            self._back_off(lender, str(error))
 
-    def _release(self, task: asyncio.Task[Reservation | Loan | None]) -> None:
+    def _settle_abandoned(self, task: asyncio.Task[Reservation | Loan | None]) -> None:
         held = None if task.cancelled() or task.exception() else task.result()
         if isinstance(held, Reservation):
             self._ledger.settle(held)
--- a/packages/fleet/src/ibisport_fleet/budget_page.py
+++ b/packages/fleet/src/ibisport_fleet/budget_page.py
@@ -16,7 +16,7 @@
 
 from ibisport_fleet.errors import RecordInvalid
 
-_UNREADABLE = (
+_DECODE_ERRORS = (
     msgspec.MsgspecError,
     AttributeError,
     KeyError,
@@ -132,12 +132,12 @@
         return BudgetPage(accounts, {**self.sessions, host: session})
 
 
-def dump_page(page: BudgetPage) -> bytes:
+def encode_page(page: BudgetPage) -> bytes:
     """Return the page as it stands in the store."""
     return msgspec.json.encode(
         {
             'accounts': {
-                name: [account.closed, _dump_shares(account)]
+                name: [account.closed, _encode_shares(account)]
                 for name, account in page.accounts.items()
             },
             'sessions': {
@@ -157,11 +157,11 @@
     try:
         document = msgspec.json.decode(content)
         return _build_page(document)
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         raise RecordInvalid(f'budget page: {error!r}') from error
 
 
-def _dump_shares(account: Account) -> dict[str, list[float]]:
+def _encode_shares(account: Account) -> dict[str, list[float]]:
     return {
         host: [share.used, share.cap, round(share.rate, 1)]
         for host, share in account.shares.items()
--- a/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
+++ b/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
@@ -19,59 +19,59 @@
 
 import msgspec
 
-from ibisport_fleet.allowance import (
-    Demand,
-    needs_page,
-    plan_contact_cap,
-    plan_share,
-    runs_low,
-)
 from ibisport_fleet.budget_page import (
     Account,
     BudgetPage,
     Session,
     Share,
     decode_page,
-    dump_page,
+    encode_page,
 )
 from ibisport_fleet.calls import draw_jittered_delay
+from ibisport_fleet.cap_planning import (
+    Demand,
+    is_running_low,
+    needs_rebalance,
+    plan_contact_cap,
+    plan_share,
+)
 from ibisport_fleet.clocks import Clocks
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.fleet_view import CatalogueView
-from ibisport_fleet.formersession import (
-    PROOF_SECONDS,
-    Remains,
-    Successor,
-    bound_spent,
-)
-from ibisport_fleet.hostrecord import (
+from ibisport_fleet.host_record import (
     HostRecord,
-    dump_record,
-    load_record,
-    name_record,
+    build_record_key,
+    decode_record,
+    encode_record,
 )
 from ibisport_fleet.ledger import Ledger
 from ibisport_fleet.membership import Member
+from ibisport_fleet.predecessor import (
+    PROOF_LEASE_SECONDS,
+    PredecessorState,
+    Successor,
+    bound_spent,
+)
 from ibisport_fleet.store import Condition, Conflict, Item, Put, Store
 
 PAGE_KEY = 'ibisport/budgets'
 PROOF_PREFIX = 'ibisport/contact/'
 # Shares are balanced about so often. The page is not read for it: a write that finds
 # another revision brings it, and lenders are hardly ever disturbed.
-PAGE_PERIOD_S = 1.5
-MOST_CONFLICTS = 8
+REBALANCE_INTERVAL_SECONDS = 1.5
+MAX_WRITE_ATTEMPTS = 8
 # A page that is no older says what a draw would find: under a flood that exceeds its
 # budget, a write for each refusal kept other hosts' writes from succeeding.
-FRESH_SECONDS = 0.25
+MAX_PAGE_AGE_SECONDS = 0.25
 # The store grows slow from one call to the next, so half of the newest counts.
 LATENCY_WEIGHT = 0.5
 # Spreads writers that collided, by about the time of a write.
-CONFLICT_PAUSE_S = 0.004
+CONFLICT_BACKOFF_SECONDS = 0.004
 # With more writers the pause doubles, up to this one.
-LONGEST_CONFLICT_PAUSE_S = 0.032
+MAX_CONFLICT_BACKOFF_SECONDS = 0.032
 # Whoever doesn't lend lets lenders go first, by so many times as long a pause. Where a
 # lender has died all others draw for themselves, and the next one hardly gets a write.
-BORROWER_PATIENCE = 8
+BORROWER_BACKOFF_FACTOR = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,11 +84,11 @@
     """
 
     lease: int
-    lapses_at: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Plan:
+class _PlannedWrite:
     """A write that may be tried.
 
     Attributes:
@@ -106,7 +106,7 @@
     conditions: tuple[Condition, ...] = ()
 
 
-class BudgetKeeper:
+class BudgetSynchronizer:
     """One process's part of the budgets in the store.
 
     Attributes:
@@ -137,10 +137,10 @@
             lends: Whether this router lends a workspace's tokens.
         """
         self.ledger = Ledger()
-        self.opened = False
-        self.lapses_at = 0.0
-        self.page_at = 0.0
-        self.has_lenders = False
+        self.is_open = False
+        self.proofs_expire_at = 0.0
+        self.page_seen_at = 0.0
+        self.knows_lenders = False
         self._clocks = clocks
         self._started_at = clocks.boot()
         self._host = member.host
@@ -152,14 +152,14 @@
         self._sequence = 0
         self._page = BudgetPage()
         self._page_revision: int | None = None
-        self._balance_at = 0.0
-        self._conflict_pause = CONFLICT_PAUSE_S
+        self._rebalance_at = 0.0
+        self._conflict_backoff = CONFLICT_BACKOFF_SECONDS
         self._record_revision = 0
         self._proof: _Proof | None = None
-        self._proof_stands = False
-        self._latency = 0.0
+        self._is_proof_stored = False
+        self._write_latency = 0.0
         # A write has no answer yet: the next one shows whether it was done.
-        self._unresolved = False
+        self._is_outcome_unknown = False
 
     @property
     def needs_proof(self) -> bool:
@@ -169,7 +169,7 @@
     @property
     def is_isolated(self) -> bool:
         """Whether the caps bound the process, and not its contact caps."""
-        return self.opened and self._clocks.boot() > self.lapses_at
+        return self.is_open and self._clocks.boot() > self.proofs_expire_at
 
     def find_account(self, workspace: str) -> Account:
         """Return a workspace's account as it was last seen."""
@@ -177,29 +177,33 @@
 
     async def renew_proof(self) -> None:
         """Get a lease for the next proof; the next write puts it in place."""
-        lease, seconds = await self._store.grant_lease(PROOF_SECONDS)
+        lease, seconds = await self._store.grant_lease(PROOF_LEASE_SECONDS)
         self._proof = _Proof(lease, self._clocks.boot() + seconds)
-        self._proof_stands = False
+        self._is_proof_stored = False
 
-    async def write(self) -> None:
+    async def synchronize(self) -> None:
         """Bring the store in step with the ledger."""
-        if not self.opened and self._page_revision is None:
-            self._take_page(await self._store.read(PAGE_KEY))
+        if not self.is_open and self._page_revision is None:
+            self._apply_page(await self._store.read(PAGE_KEY))
         # Nothing is drawn before the process before this one is accounted for.
-        if not self.opened and (self._is_urgent() or self._has_work()):
-            await self._open()
+        if not self.is_open and (
+            self._predecessor_may_hold_tokens() or self._has_work()
+        ):
+            await self._open_session()
         if not self._has_work():
             return
-        for _ in range(MOST_CONFLICTS):
-            if await self._put(self._plan()):
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if await self._try_write(self._plan_write()):
                 break
         now = self._clocks.boot()
-        if now >= self._balance_at:
-            self._balance_at = now + draw_jittered_delay(PAGE_PERIOD_S / 2)
+        if now >= self._rebalance_at:
+            self._rebalance_at = now + draw_jittered_delay(
+                REBALANCE_INTERVAL_SECONDS / 2
+            )
 
     def _has_work(self) -> bool:
         """Whether the host lends, holds more than it has spent, or needs tokens."""
-        if self._unresolved:
+        if self._is_outcome_unknown:
             return True
         return any(
             self._lends(name)
@@ -210,20 +214,22 @@
 
     async def close(self) -> None:
         """Say what was spent in the end; the process serves no more."""
-        spent = {name: purse.used for name, purse in self.ledger.purses.items()}
-        self.ledger.accept(spent, spent)
-        record = HostRecord(self._incarnation, self._next(), final=True, caps=spent)
+        spent = {name: purse.used for name, purse in self.ledger.local_budgets.items()}
+        self.ledger.apply_confirmed(spent, spent)
+        record = HostRecord(
+            self._incarnation, self._advance_sequence(), final=True, caps=spent
+        )
         done = False
         while not done:
-            done = await self._put(_Plan(record))
+            done = await self._try_write(_PlannedWrite(record))
 
     @property
-    def settled(self) -> bool:
+    def is_predecessor_settled(self) -> bool:
         """Whether the process before this one holds nothing any more."""
         known = self._page_revision is not None
-        return self.opened or (known and not self._is_urgent())
+        return self.is_open or (known and not self._predecessor_may_hold_tokens())
 
-    def _is_urgent(self) -> bool:
+    def _predecessor_may_hold_tokens(self) -> bool:
         """Whether the process before this one may have left tokens unspent.
 
         What it has spent to the last token can be closed with the first write that
@@ -233,24 +239,24 @@
         shares = [one.shares.get(self._host) for one in self._page.accounts.values()]
         return any(share.cap > share.used for share in shares if share is not None)
 
-    async def _open(self) -> None:
+    async def _open_session(self) -> None:
         """End the session that this host's process had before."""
         before = self._page.sessions.get(self._host)
-        remains = await self._read_remains(before)
+        remains = await self._read_predecessor_state(before)
         after = Successor(self._clocks.boot_id, self._started_at, self._clocks.wall())
         spent = bound_spent(before, remains, after, self._log)
         # Nothing is held without a session. A first write of a process that died
         # before its answer came may still be done: it spent nothing of it.
-        self.opened = before is None
-        while not self.opened:
+        self.is_open = before is None
+        while not self.is_open:
             # Only the page changes at every try, and a conflict brings it: with two
             # more reads between them a busy lender's writes would come first each time.
             plan = self._plan_opening(spent, remains.proof)
-            self.opened = await self._put(plan)
+            self.is_open = await self._try_write(plan)
             changed = self._record_revision != remains.record_revision
             # A proof that the write relies on may have run out meanwhile.
-            if not self.opened and (changed or plan.conditions):
-                remains = await self._read_remains(before)
+            if not self.is_open and (changed or plan.conditions):
+                remains = await self._read_predecessor_state(before)
                 after = replace(after, wall=self._clocks.wall())
                 spent = bound_spent(before, remains, after, self._log)
         self._log.write(
@@ -260,30 +266,33 @@
             bounded=bool(spent),
         )
 
-    def _plan_opening(self, spent: dict[str, int], proof: Item | None) -> _Plan:
-        session = Session(self._incarnation, self._next())
+    def _plan_opening(self, spent: dict[str, int], proof: Item | None) -> _PlannedWrite:
+        session = Session(self._incarnation, self._advance_sequence())
         closed = self._page.close_session(self._host, spent)
         conditions: tuple[Condition, ...] = ()
         if spent and proof is not None:
             conditions = (Condition(proof.key, proof.revision),)
-        return _Plan(
+        return _PlannedWrite(
             self._build_record(session.sequence, {}, {}, None),
             closed.with_shares(self._host, session, {}),
             conditions=conditions,
         )
 
-    async def _read_remains(self, before: Session | None) -> Remains:
+    async def _read_predecessor_state(self, before: Session | None) -> PredecessorState:
         """Read what the process before left besides its shares."""
-        record = await self._store.read(name_record(self._host))
+        record = await self._store.read(build_record_key(self._host))
         self._record_revision = 0 if record is None else record.revision
         if before is None:
-            return Remains(record, None)
-        return Remains(record, await self._store.read(PROOF_PREFIX + self._host))
+            return PredecessorState(record, None)
+        return PredecessorState(
+            record, await self._store.read(PROOF_PREFIX + self._host)
+        )
 
-    def _plan(self) -> _Plan:
+    def _plan_write(self) -> _PlannedWrite:
         now = self._clocks.boot()
         demands = {
-            name: self.ledger.find(name).demand(now) for name, _ in self._list_budgets()
+            name: self.ledger.find(name).measure_demand(now)
+            for name, _ in self._list_budgets()
         }
         shares = {
             name: plan_share(
@@ -295,19 +304,19 @@
             )
             for name, budget in self._list_budgets()
         }
-        proof = None if self._proof_stands else self._proof
-        sequence = self._next()
-        if not self._is_page_due(shares, demands, now):
+        proof = None if self._is_proof_stored else self._proof
+        sequence = self._advance_sequence()
+        if not self._is_page_write_due(shares, demands, now):
             caps = {name: self.ledger.find(name).cap for name in demands}
             record = self._build_record(sequence, caps, demands, proof)
-            return _Plan(record, proof=proof)
+            return _PlannedWrite(record, proof=proof)
         caps = {name: share.cap for name, share in shares.items()}
         session = Session(self._incarnation, sequence)
         page = self._page.with_shares(self._host, session, shares)
         record = self._build_record(sequence, caps, demands, proof)
-        return _Plan(record, page, caps, proof)
+        return _PlannedWrite(record, page, caps, proof)
 
-    def _is_page_due(
+    def _is_page_write_due(
         self, shares: dict[str, Share], demands: dict[str, Demand], now: float
     ) -> bool:
         """Whether this write changes the shared page as well.
@@ -315,7 +324,7 @@
         What callers wait for comes first: if the host's own caps cover it, the
         page waits, and with it the conflicts that its writes may meet.
         """
-        purses = self.ledger.purses
+        purses = self.ledger.local_budgets
         short = [
             name
             for name, demand in demands.items()
@@ -326,20 +335,22 @@
             for name in short
         ):
             return True
-        if short and now - self.page_at > FRESH_SECONDS:
+        if short and now - self.page_seen_at > MAX_PAGE_AGE_SECONDS:
             # Nothing is left as far as is known; others may have given something back.
             return True
         if any(
-            runs_low(purses[name].cap, shares[name], demand)
+            is_running_low(purses[name].cap, shares[name], demand)
             for name, demand in demands.items()
         ):
             return True
-        if now < self._balance_at or any(one.wanted for one in demands.values()):
+        if now < self._rebalance_at or any(one.wanted for one in demands.values()):
             return False
         # What the page says counts here: after a conflict the host's own bound may
         # be lower already, and what lies between them would be held for ever.
         return any(
-            needs_page(self._page.find(name).find_cap(self._host), share, demands[name])
+            needs_rebalance(
+                self._page.find(name).find_cap(self._host), share, demands[name]
+            )
             for name, share in shares.items()
         )
 
@@ -351,103 +362,105 @@
         proof: _Proof | None,
     ) -> HostRecord:
         contact_caps = {
-            name: plan_contact_cap(cap, demands[name], self._latency)
+            name: plan_contact_cap(cap, demands[name], self._write_latency)
             for name, cap in caps.items()
         }
         # A proof that goes with the write binds the process before it is answered.
-        proof_until = 0.0 if proof is None else proof.lapses_at
+        proof_until = 0.0 if proof is None else proof.expires_at
         return HostRecord(
             self._incarnation,
             sequence,
             caps=contact_caps,
             boot_id=self._clocks.boot_id,
             written_at=self._clocks.boot(),
-            bound_until=max(self.lapses_at, proof_until),
+            bound_until=max(self.proofs_expire_at, proof_until),
         )
 
-    async def _put(self, plan: _Plan) -> bool:
+    async def _try_write(self, plan: _PlannedWrite) -> bool:
         """Try a write; False on a conflict, after which the page is up to date."""
         # Until the answer is here both the old caps and the new may stand.
-        self.ledger.narrow(plan.record.caps, plan.caps, self.is_isolated)
+        self.ledger.apply_unconfirmed(plan.record.caps, plan.caps, self.is_isolated)
         if plan.proof is not None:
-            self.lapses_at = max(self.lapses_at, plan.proof.lapses_at)
-        self._unresolved = True
+            self.proofs_expire_at = max(self.proofs_expire_at, plan.proof.expires_at)
+        self._is_outcome_unknown = True
         begun = self._clocks.boot()
         outcome = await self._store.write(
             self._list_conditions(plan), self._list_puts(plan)
         )
         passed = self._clocks.boot() - begun
-        self._latency += LATENCY_WEIGHT * (passed - self._latency)
-        self._unresolved = False
+        self._write_latency += LATENCY_WEIGHT * (passed - self._write_latency)
+        self._is_outcome_unknown = False
         if isinstance(outcome, Conflict):
-            return await self._resolve(plan, outcome)
+            return await self._resolve_conflict(plan, outcome)
         self._record_revision = outcome.revision
         if plan.page is not None:
             self._page = plan.page
             self._page_revision = outcome.revision
-            self.page_at = self._clocks.boot()
-        self._accept(plan)
+            self.page_seen_at = self._clocks.boot()
+        self._confirm(plan)
         return True
 
-    async def _resolve(self, plan: _Plan, conflict: Conflict) -> bool:
+    async def _resolve_conflict(self, plan: _PlannedWrite, conflict: Conflict) -> bool:
         """Find out whose write came before ours; True if it was ours itself."""
-        key = name_record(self._host)
+        key = build_record_key(self._host)
         item = await _find_current(self._store, conflict, key)
-        record = None if item is None else load_record(item.content)
+        record = None if item is None else decode_record(item.content)
         self._record_revision = 0 if item is None else item.revision
         done = record is not None and record == plan.record
         if plan.page is not None:
-            self._take_page(await _find_current(self._store, conflict, PAGE_KEY))
+            self._apply_page(await _find_current(self._store, conflict, PAGE_KEY))
         if done:
             # An earlier try of this write was done though not answered.
-            self._accept(plan)
+            self._confirm(plan)
             return True
-        if self.opened:
-            await self._pause_after_conflict()
+        if self.is_open:
+            await self._back_off_after_conflict()
         return False
 
-    async def _pause_after_conflict(self) -> None:
+    async def _back_off_after_conflict(self) -> None:
         """Let others go first, but not while the process is opening.
 
         An opening that comes after the former process's proof has run out strands
         its whole reserve.
         """
-        yields = self.has_lenders and not self.needs_proof
-        patience = BORROWER_PATIENCE if yields else 1
-        await asyncio.sleep(random.random() * patience * self._conflict_pause)
-        self._conflict_pause = min(2 * self._conflict_pause, LONGEST_CONFLICT_PAUSE_S)
+        yields = self.knows_lenders and not self.needs_proof
+        patience = BORROWER_BACKOFF_FACTOR if yields else 1
+        await asyncio.sleep(random.random() * patience * self._conflict_backoff)
+        self._conflict_backoff = min(
+            2 * self._conflict_backoff, MAX_CONFLICT_BACKOFF_SECONDS
+        )
 
-    def _accept(self, plan: _Plan) -> None:
+    def _confirm(self, plan: _PlannedWrite) -> None:
         """Take a write that surely stands in the store."""
-        self._conflict_pause = CONFLICT_PAUSE_S
-        self.ledger.accept(plan.record.caps, plan.caps)
+        self._conflict_backoff = CONFLICT_BACKOFF_SECONDS
+        self.ledger.apply_confirmed(plan.record.caps, plan.caps)
         if plan.proof is self._proof:
-            self._proof_stands = True
+            self._is_proof_stored = True
 
-    def _list_conditions(self, plan: _Plan) -> list[Condition]:
+    def _list_conditions(self, plan: _PlannedWrite) -> list[Condition]:
         conditions = [
-            Condition(name_record(self._host), self._record_revision),
+            Condition(build_record_key(self._host), self._record_revision),
             *plan.conditions,
         ]
         if plan.page is not None:
             conditions.append(Condition(PAGE_KEY, self._page_revision or 0))
         return conditions
 
-    def _list_puts(self, plan: _Plan) -> list[Put]:
-        puts = [Put(name_record(self._host), dump_record(plan.record))]
+    def _list_puts(self, plan: _PlannedWrite) -> list[Put]:
+        puts = [Put(build_record_key(self._host), encode_record(plan.record))]
         if plan.page is not None:
-            puts.append(Put(PAGE_KEY, dump_page(plan.page)))
+            puts.append(Put(PAGE_KEY, encode_page(plan.page)))
         if plan.proof is not None:
             content = msgspec.json.encode((self._incarnation, self._clocks.wall()))
             puts.append(Put(PROOF_PREFIX + self._host, content, plan.proof.lease))
         return puts
 
-    def _take_page(self, item: Item | None) -> None:
+    def _apply_page(self, item: Item | None) -> None:
         self._page = BudgetPage() if item is None else decode_page(item.content)
         self._page_revision = 0 if item is None else item.revision
-        self.page_at = self._clocks.boot()
+        self.page_seen_at = self._clocks.boot()
 
-    def _next(self) -> int:
+    def _advance_sequence(self) -> int:
         self._sequence += 1
         return self._sequence
 
--- a/packages/fleet/src/ibisport_fleet/budgets.py
+++ b/packages/fleet/src/ibisport_fleet/budgets.py
@@ -7,11 +7,11 @@
 import asyncio
 import contextlib
 
-from ibisport_fleet.allowance import measure_room
 from ibisport_fleet.borrowing import Borrower
 from ibisport_fleet.budget_page import Share
-from ibisport_fleet.budget_synchronizer import FRESH_SECONDS, BudgetKeeper
+from ibisport_fleet.budget_synchronizer import MAX_PAGE_AGE_SECONDS, BudgetSynchronizer
 from ibisport_fleet.calls import draw_jittered_delay
+from ibisport_fleet.cap_planning import compute_max_cap
 from ibisport_fleet.catalogue import Workspace
 from ibisport_fleet.clocks import SYSTEM_CLOCKS, Clocks
 from ibisport_fleet.errors import FleetError, RecordInvalid, StoreError
@@ -24,25 +24,25 @@
 from ibisport_fleet.shutdown import Shutdown
 from ibisport_fleet.store import Store
 
-PROOF_PERIOD_S = 0.7
-WRITE_PERIOD_S = 0.75
+PROOF_RENEWAL_INTERVAL_SECONDS = 0.7
+WRITE_INTERVAL_SECONDS = 0.75
 # Requests that need a write within so long share one: each write is a call for all
 # budgets of the host, and writes of the shared page keep each other out.
-LEAST_WRITE_GAP_S = 0.06
-RETRY_PAUSE_S = 0.2
+MIN_WRITE_INTERVAL_SECONDS = 0.06
+RETRY_BACKOFF_SECONDS = 0.2
 # Longest time that a request waits for tokens: a write of a slow store, and conflicts
 # before it.
-DRAW_SECONDS = 0.6
+DRAW_TIMEOUT_SECONDS = 0.6
 # The same while calls fail: sooner with another router than waiting here.
-FAILING_DRAW_SECONDS = 0.1
+FAILING_DRAW_TIMEOUT_SECONDS = 0.1
 # A router that is asked for a loan holds a reserve for so long, whatever its own list
 # says: borrowers ask by theirs, and the two differ by a period of the list. Without it
 # each such loan would be a write of the page. Borrowers leave a lender alone for as
 # long.
-ASKED_SECONDS = 2.0
+LENDER_RETENTION_SECONDS = 2.0
 # Another router may have tokens left of the same budget, and a retry reaches
 # another one.
-SHORT_PAUSE_S = 0.15
+SHORTAGE_RETRY_SECONDS = 0.15
 
 
 class TokensUnavailable(Exception):
@@ -77,16 +77,16 @@
         self._host = members.own.host
         self._log = log
         self._catalogue = catalogue
-        self._keeper = BudgetKeeper(
+        self._synchronizer = BudgetSynchronizer(
             store, catalogue, log, clocks, members.own, self._lends
         )
-        self._ledger = self._keeper.ledger
+        self._ledger = self._synchronizer.ledger
         self._borrower = Borrower(members, self._ledger, peers, log)
-        self._wake = asyncio.Event()
-        self._drawn = asyncio.Event()
-        self._failing = False
+        self._write_requested = asyncio.Event()
+        self._write_done = asyncio.Event()
+        self._store_failing = False
         self._shutdown: Shutdown | None = None
-        self._asked_until: dict[str, float] = {}
+        self._lending_until: dict[str, float] = {}
         self._closing = False
 
     @property
@@ -111,7 +111,7 @@
         self._shutdown = shutdown
         loop = asyncio.get_running_loop()
         loop.call_at(shutdown.listed_until, self._members.leave)
-        loop.call_at(shutdown.lends_until, self._wake.set)
+        loop.call_at(shutdown.lends_until, self._write_requested.set)
 
     async def lend(self, request: LoanRequest) -> Loan:
         """Lend tokens to another router, which counts as spending them.
@@ -123,18 +123,20 @@
         if workspace is None or request.lender != self._members.own.incarnation:
             return Loan(0, 0, certain=False)
         if request.repaid:
-            self._ledger.take_back(workspace.name, request.repaid)
-            self._ledger.find(workspace.name).note_asked(
+            self._ledger.credit_repayment(workspace.name, request.repaid)
+            self._ledger.find(workspace.name).add_demand(
                 -request.repaid, self._clocks.boot()
             )
-        if self._lent_last or not request.tokens:
+        if self._has_stopped_lending or not request.tokens:
             return Loan(0, 0, certain=False)
-        self._asked_until[workspace.name] = self._clocks.boot() + ASKED_SECONDS
+        self._lending_until[workspace.name] = (
+            self._clocks.boot() + LENDER_RETENTION_SECONDS
+        )
         try:
-            held = await self._reserve_own(workspace, request.tokens)
+            held = await self._reserve_local(workspace, request.tokens)
         except TokensUnavailable as short:
             used = int(short.details.get('used', 0))
-            return Loan(0, used, certain=not self._failing)
+            return Loan(0, used, certain=not self._store_failing)
         held.spent = held.tokens
         self._ledger.settle(held)
         return Loan(request.tokens, 0, certain=True)
@@ -152,7 +154,7 @@
         if workspace is None or workspace.budget is None or not tokens:
             return Reservation(None, tokens)
         if self._lends(workspace.name):
-            return await self._reserve_own(workspace, tokens)
+            return await self._reserve_local(workspace, tokens)
         held = self._ledger.reserve_borrowed(workspace.name, tokens)
         if held is not None:
             return held
@@ -161,22 +163,22 @@
             return answer
         if answer is not None and answer.certain:
             spent = answer.used + tokens > (workspace.budget or 0)
-            pause = None if spent else draw_jittered_delay(SHORT_PAUSE_S)
+            pause = None if spent else draw_jittered_delay(SHORTAGE_RETRY_SECONDS)
             raise TokensUnavailable(
                 pause, budget=workspace.budget or 0, used=answer.used
             )
-        return await self._reserve_own(workspace, tokens)
+        return await self._reserve_local(workspace, tokens)
 
     async def run_repayments(self) -> None:
         """Give borrowed tokens back that no request needs, for ever."""
-        await self._borrower.repay()
+        await self._borrower.run_repayments()
 
-    async def _reserve_own(self, workspace: Workspace, tokens: int) -> Reservation:
+    async def _reserve_local(self, workspace: Workspace, tokens: int) -> Reservation:
         """Hold tokens that the store counts as this host's."""
         now = self._clocks.boot()
         purse = self._ledger.find(workspace.name)
-        purse.note_asked(tokens, now)
-        isolated = self._keeper.is_isolated
+        purse.add_demand(tokens, now)
+        isolated = self._synchronizer.is_isolated
         # What others wait for isn't taken before them: on a busy budget newcomers used
         # up what a write had brought, and those who had waited were refused.
         if purse.fits(tokens + purse.wanted, isolated):
@@ -193,36 +195,38 @@
         It is a task of its own so that no draw waits for it.
         """
         while True:
-            if not self._keeper.needs_proof:
-                await asyncio.sleep(PROOF_PERIOD_S)
+            if not self._synchronizer.needs_proof:
+                await asyncio.sleep(PROOF_RENEWAL_INTERVAL_SECONDS)
                 continue
             try:
-                await self._keeper.renew_proof()
+                await self._synchronizer.renew_proof()
             except (StoreError, RecordInvalid) as error:
-                self._note_failure(error)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_BACKOFF_SECONDS)
                 continue
-            self._wake.set()
-            await asyncio.sleep(PROOF_PERIOD_S)
+            self._write_requested.set()
+            await asyncio.sleep(PROOF_RENEWAL_INTERVAL_SECONDS)
 
     async def run(self) -> None:
         """Keep the store in step with the ledger for ever."""
         loop = asyncio.get_running_loop()
         while True:
             begun = loop.time()
-            self._keeper.has_lenders = self._members.listed
+            self._synchronizer.knows_lenders = self._members.listed
             try:
-                await self._keeper.write()
+                await self._synchronizer.synchronize()
             except (StoreError, RecordInvalid) as error:
-                self._note_failure(error)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_BACKOFF_SECONDS)
                 continue
-            self._members.may_lend = self._keeper.settled and self._shutdown is None
-            drawn, self._drawn = self._drawn, asyncio.Event()
+            self._members.may_lend = (
+                self._synchronizer.is_predecessor_settled and self._shutdown is None
+            )
+            drawn, self._write_done = self._write_done, asyncio.Event()
             drawn.set()
-            self._failing = False
-            await self._wait()
-            await asyncio.sleep(begun + LEAST_WRITE_GAP_S - loop.time())
+            self._store_failing = False
+            await self._wait_for_write_request()
+            await asyncio.sleep(begun + MIN_WRITE_INTERVAL_SECONDS - loop.time())
 
     async def close(self) -> None:
         """Say what was spent in the end, and give back what was borrowed.
@@ -234,27 +238,31 @@
 
     async def _close_session(self) -> None:
         """Say what was spent in the end, however often it takes."""
-        while self._keeper.opened:
+        while self._synchronizer.is_open:
             try:
-                return await self._keeper.close()
+                return await self._synchronizer.close()
             except (StoreError, RecordInvalid) as error:
-                self._note_failure(error)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_BACKOFF_SECONDS)
 
     async def _draw(self, workspace: Workspace, tokens: int) -> Reservation:
         # Once the account is written nothing brings tokens any more.
-        if self._closing or self._is_hopeless(workspace, tokens):
-            raise self._explain(workspace, tokens)
+        if self._closing or self._is_exhausted(workspace, tokens):
+            raise self._build_refusal(workspace, tokens)
         purse = self._ledger.find(workspace.name)
         purse.wanted += tokens
-        wait = FAILING_DRAW_SECONDS if self._failing else DRAW_SECONDS
+        wait = (
+            FAILING_DRAW_TIMEOUT_SECONDS
+            if self._store_failing
+            else DRAW_TIMEOUT_SECONDS
+        )
         until = asyncio.get_running_loop().time() + wait
         try:
             async with asyncio.timeout_at(until):
                 return await self._wait_for_tokens(workspace, tokens)
         except TimeoutError:
             raise TokensUnavailable(
-                self._pause_until_isolated(), own_used=purse.used, own_cap=purse.cap
+                self._estimate_retry_after(), own_used=purse.used, own_cap=purse.cap
             ) from None
         finally:
             purse.wanted -= tokens
@@ -262,26 +270,26 @@
     async def _wait_for_tokens(self, workspace: Workspace, tokens: int) -> Reservation:
         # The first write that ends may have begun before this request came.
         for _ in range(2):
-            drawn = self._drawn
-            self._wake.set()
+            drawn = self._write_done
+            self._write_requested.set()
             await drawn.wait()
-            isolated = self._keeper.is_isolated
+            isolated = self._synchronizer.is_isolated
             held = self._ledger.reserve(workspace.name, tokens, isolated)
             if held is not None:
                 return held
-        raise self._explain(workspace, tokens)
+        raise self._build_refusal(workspace, tokens)
 
     @property
-    def _lent_last(self) -> bool:
+    def _has_stopped_lending(self) -> bool:
         """Whether the router leaves and lends nothing any more."""
         if self._shutdown is None:
             return False
         return asyncio.get_running_loop().time() >= self._shutdown.lends_until
 
     def _lends(self, workspace: str) -> bool:
-        if self._lent_last or not self._members.listed:
+        if self._has_stopped_lending or not self._members.listed:
             return False
-        if self._clocks.boot() < self._asked_until.get(workspace, 0.0):
+        if self._clocks.boot() < self._lending_until.get(workspace, 0.0):
             return True
         return rank_lenders(self._members.current, workspace)[0] == self._host
 
@@ -289,47 +297,47 @@
         current = self._catalogue.current
         return None if current is None else current.workspaces.get(name)
 
-    def _pause_until_isolated(self) -> float:
+    def _estimate_retry_after(self) -> float:
         """Return how long a caller should wait while the store can't be reached.
 
         Once the proof of contact has run out the caps hold.
         """
-        left = max(0.0, self._keeper.lapses_at - self._clocks.boot())
-        return left + draw_jittered_delay(SHORT_PAUSE_S)
+        left = max(0.0, self._synchronizer.proofs_expire_at - self._clocks.boot())
+        return left + draw_jittered_delay(SHORTAGE_RETRY_SECONDS)
 
-    def _is_hopeless(self, workspace: Workspace, tokens: int) -> bool:
+    def _is_exhausted(self, workspace: Workspace, tokens: int) -> bool:
         """Whether a draw just now can't bring the tokens either."""
-        if self._clocks.boot() - self._keeper.page_at > FRESH_SECONDS:
+        if self._clocks.boot() - self._synchronizer.page_seen_at > MAX_PAGE_AGE_SECONDS:
             return False
-        account = self._keeper.find_account(workspace.name)
-        room = measure_room(account, workspace.budget or 0, self._host)
+        account = self._synchronizer.find_account(workspace.name)
+        room = compute_max_cap(account, workspace.budget or 0, self._host)
         return self._ledger.find(workspace.name).used + tokens > room
 
-    def _explain(self, workspace: Workspace, tokens: int) -> TokensUnavailable:
-        account = self._keeper.find_account(workspace.name)
+    def _build_refusal(self, workspace: Workspace, tokens: int) -> TokensUnavailable:
+        account = self._synchronizer.find_account(workspace.name)
         own = account.shares.get(self._host, Share())
         purse = self._ledger.find(workspace.name)
         budget = workspace.budget or 0
         used = account.used - own.used + purse.used
         short = used + tokens > budget
         return TokensUnavailable(
-            None if short else draw_jittered_delay(SHORT_PAUSE_S),
+            None if short else draw_jittered_delay(SHORTAGE_RETRY_SECONDS),
             budget=budget,
             used=used,
             held=account.held,
             own_used=purse.used,
             own_cap=purse.cap,
-            page_age=round(self._clocks.boot() - self._keeper.page_at, 3),
-            isolated=self._keeper.is_isolated,
+            page_age=round(self._clocks.boot() - self._synchronizer.page_seen_at, 3),
+            isolated=self._synchronizer.is_isolated,
         )
 
-    async def _wait(self) -> None:
+    async def _wait_for_write_request(self) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(WRITE_PERIOD_S):
-                await self._wake.wait()
-        self._wake.clear()
+            async with asyncio.timeout(WRITE_INTERVAL_SECONDS):
+                await self._write_requested.wait()
+        self._write_requested.clear()
 
-    def _note_failure(self, error: FleetError) -> None:
-        if not self._failing:
-            self._failing = True
+    def _record_failure(self, error: FleetError) -> None:
+        if not self._store_failing:
+            self._store_failing = True
             self._log.write(Event.budget_unknown, reason=repr(error))
--- a/packages/fleet/src/ibisport_fleet/allowance.py
+++ b/packages/fleet/src/ibisport_fleet/cap_planning.py
@@ -7,25 +7,25 @@
 # What a host may spend without asking while it is in contact covers half a second and
 # this many writes; more would be lost in a crash. Two writes may pass before what a
 # request needs is written, and as many again before a conflict is settled.
-CONTACT_SECONDS = 0.5
-CONTACT_WRITES = 4
+CONTACT_RESERVE_SECONDS = 0.5
+CONTACT_RESERVE_WRITES = 4
 # And at most this part of what the host holds.
-CONTACT_PART = 0.3
+MAX_CONTACT_FRACTION = 0.3
 # While the store can't be reached a lender lives on its cap. A longer reserve would
 # bridge longer outages, and a lender that dies in one strands what is left of it.
-ISOLATED_SECONDS = 6.0
+ISOLATED_RESERVE_SECONDS = 6.0
 # And at most this share of the unspent rest: a lender that dies in an outage strands
 # what is left of it.
-ISOLATED_SHARE = 0.35
+MAX_ISOLATED_FRACTION = 0.35
 # A lender that saw no demand yet is taken for one that sees this share of the rest
 # a second, so that it can answer the first requests in a partition.
-PRIOR_RATE_SHARE = 0.002
+PRIOR_RATE_FRACTION_PER_SECOND = 0.002
 # Below so much demand a lender's share is raised at once, and not only when it is
 # balanced: under a flood every write is one that requests wait for.
-LOW_SECONDS = 3.0
+LOW_RESERVE_SECONDS = 3.0
 # A cap is left as it is while it is within this factor of what is planned, so
 # that hosts don't write the shared page for nothing.
-TOLERANCE = 0.3
+CAP_TOLERANCE = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     wanted: int = 0
 
 
-def measure_room(account: Account, budget: int, host: str) -> int:
+def compute_max_cap(account: Account, budget: int, host: str) -> int:
     """Return up to which cap a host could raise its own."""
     own = account.shares.get(host, Share())
     return budget - (account.held - own.cap)
@@ -62,12 +62,14 @@
         lends: The host holds the unspent rest for all routers.
     """
     held = account.shares.get(host, Share())
-    room = max(0, measure_room(account, budget, host) - demand.used)
+    room = max(0, compute_max_cap(account, budget, host) - demand.used)
     planned = 0
     if lends:
         unspent = max(0, budget - (account.used - held.used) - demand.used)
-        rate = demand.rate + PRIOR_RATE_SHARE * unspent
-        planned = int(min(ISOLATED_SECONDS * rate, ISOLATED_SHARE * unspent))
+        rate = demand.rate + PRIOR_RATE_FRACTION_PER_SECOND * unspent
+        planned = int(
+            min(ISOLATED_RESERVE_SECONDS * rate, MAX_ISOLATED_FRACTION * unspent)
+        )
     cap = demand.used + min(room, max(planned, demand.wanted))
     return Share(demand.used, cap, demand.rate)
 
@@ -80,13 +82,13 @@
         demand: What it needs.
         latency: How long a write takes now, seconds.
     """
-    covered = CONTACT_SECONDS + CONTACT_WRITES * latency
+    covered = CONTACT_RESERVE_SECONDS + CONTACT_RESERVE_WRITES * latency
     spare = max(0, cap - demand.used)
-    usual = min(covered * demand.rate, CONTACT_PART * spare)
+    usual = min(covered * demand.rate, MAX_CONTACT_FRACTION * spare)
     return demand.used + min(spare, int(usual) + demand.wanted)
 
 
-def runs_low(cap: int, planned: Share, demand: Demand) -> bool:
+def is_running_low(cap: int, planned: Share, demand: Demand) -> bool:
     """Whether a lender's share is about to end though it could hold more.
 
     Args:
@@ -95,10 +97,13 @@
         demand: What it needs.
     """
     have = cap - demand.used
-    return have < LOW_SECONDS * demand.rate and planned.cap - demand.used > 2 * have
+    return (
+        have < LOW_RESERVE_SECONDS * demand.rate
+        and planned.cap - demand.used > 2 * have
+    )
 
 
-def needs_page(cap: int, planned: Share, demand: Demand) -> bool:
+def needs_rebalance(cap: int, planned: Share, demand: Demand) -> bool:
     """Whether a host's share is worth a write of the shared page.
 
     Args:
@@ -108,4 +113,4 @@
     """
     have = cap - demand.used
     want = planned.cap - demand.used
-    return abs(have - want) > TOLERANCE * max(have, want, 1)
+    return abs(have - want) > CAP_TOLERANCE * max(have, want, 1)
--- a/packages/fleet/src/ibisport_fleet/hostrecord.py
+++ b/packages/fleet/src/ibisport_fleet/host_record.py
@@ -42,17 +42,17 @@
 _DECODER = msgspec.json.Decoder(HostRecord)
 
 
-def name_record(host: str) -> str:
+def build_record_key(host: str) -> str:
     """Return the store key of a host's record."""
     return f'{RECORD_PREFIX}{host}'
 
 
-def dump_record(record: HostRecord) -> bytes:
+def encode_record(record: HostRecord) -> bytes:
     """Return the record as it stands in the store."""
     return msgspec.json.encode(record)
 
 
-def load_record(content: bytes) -> HostRecord:
+def decode_record(content: bytes) -> HostRecord:
     """Return the record that stands in the store.
 
     Raises:
--- a/packages/fleet/src/ibisport_fleet/ledger.py
+++ b/packages/fleet/src/ibisport_fleet/ledger.py
@@ -3,11 +3,11 @@
 import math
 from dataclasses import dataclass
 
-from ibisport_fleet.allowance import Demand
+from ibisport_fleet.cap_planning import Demand
 
 # Demand is averaged over about this time: long enough to see rare large prompts,
 # short enough to follow a workspace that suddenly sends several times its usual.
-RATE_SECONDS = 8.0
+DEMAND_TIME_CONSTANT_SECONDS = 8.0
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Purse:
+class LocalBudget:
     """One budget at this host, in tokens since the process began.
 
     Attributes:
@@ -47,53 +47,55 @@
     cap: int = 0
     wanted: int = 0
     borrowed: int = 0
-    _asked: float = 0.0
-    _asked_at: float = 0.0
+    _recent_demand: float = 0.0
+    _decayed_at: float = 0.0
 
     @property
     def used(self) -> int:
         """Spent, and reserved at the most."""
         return self.settled + self.reserved
 
-    def note_asked(self, tokens: int, now: float) -> None:
+    def add_demand(self, tokens: int, now: float) -> None:
         """Count tokens that callers asked for, less those that they give back."""
         self._decay(now)
-        self._asked = max(0.0, self._asked + tokens)
+        self._recent_demand = max(0.0, self._recent_demand + tokens)
 
     def fits(self, tokens: int, isolated: bool) -> bool:
         """Whether a request of so many tokens is within the bounds."""
         bound = self.cap if isolated else min(self.cap, self.contact_cap)
         return self.used + tokens <= bound
 
-    def demand(self, now: float) -> Demand:
+    def measure_demand(self, now: float) -> Demand:
         """Return what this host needs of the budget."""
         self._decay(now)
-        return Demand(self.used, self._asked / RATE_SECONDS, self.wanted)
+        return Demand(
+            self.used, self._recent_demand / DEMAND_TIME_CONSTANT_SECONDS, self.wanted
+        )
 
     def _decay(self, now: float) -> None:
-        passed = now - self._asked_at
-        kept = math.exp(-passed / RATE_SECONDS)
-        self._asked *= kept
-        self._asked_at = now
+        passed = now - self._decayed_at
+        kept = math.exp(-passed / DEMAND_TIME_CONSTANT_SECONDS)
+        self._recent_demand *= kept
+        self._decayed_at = now
 
 
 class Ledger:
     """All budgets at this host."""
 
     def __init__(self) -> None:
-        self._purses: dict[str, Purse] = {}
+        self._local_budgets: dict[str, LocalBudget] = {}
 
     @property
-    def purses(self) -> dict[str, Purse]:
+    def local_budgets(self) -> dict[str, LocalBudget]:
         """The budgets by workspace."""
-        return self._purses
+        return self._local_budgets
 
-    def find(self, workspace: str) -> Purse:
+    def find(self, workspace: str) -> LocalBudget:
         """Return the purse of a workspace, empty at first."""
-        found = self._purses.get(workspace)
+        found = self._local_budgets.get(workspace)
         if found is None:
-            found = Purse()
-            self._purses[workspace] = found
+            found = LocalBudget()
+            self._local_budgets[workspace] = found
         return found
 
     def reserve(
@@ -129,12 +131,12 @@
         purse.borrowed -= tokens
         return Reservation(workspace, tokens, borrowed=True)
 
-    def take_back(self, workspace: str, tokens: int) -> None:
+    def credit_repayment(self, workspace: str, tokens: int) -> None:
         """Count lent tokens as not spent after all."""
         purse = self.find(workspace)
         purse.settled -= min(tokens, purse.settled)
 
-    def narrow(
+    def apply_unconfirmed(
         self, contact_caps: dict[str, int], caps: dict[str, int], isolated: bool
     ) -> None:
         """Bound the purses by a write that may or may not be done.
@@ -151,7 +153,9 @@
             purse.contact_cap = min(old, contact_cap)
             purse.cap = min(purse.cap, caps.get(name, purse.cap))
 
-    def accept(self, contact_caps: dict[str, int], caps: dict[str, int]) -> None:
+    def apply_confirmed(
+        self, contact_caps: dict[str, int], caps: dict[str, int]
+    ) -> None:
         """Bound the purses by a write that surely stands in the store."""
         for name, contact_cap in contact_caps.items():
             self.find(name).contact_cap = contact_cap
--- a/packages/fleet/src/ibisport_fleet/lenders.py
+++ b/packages/fleet/src/ibisport_fleet/lenders.py
@@ -12,8 +12,8 @@
 
 # One lender for so many routers, so that each is asked for few loans. At least two, so
 # that not all budgets feel the loss of one router.
-ROUTERS_A_LENDER = 12
-LEAST_LENDERS = 2
+ROUTERS_PER_LENDER = 12
+MIN_LENDERS = 2
 
 
 def rank_lenders(hosts: Iterable[str], workspace: str) -> list[str]:
@@ -26,10 +26,10 @@
         hosts: Names of the routers' hosts.
         workspace: The workspace whose budget it is.
     """
-    drawn = sorted(hosts, key=_draw)
-    most = max(LEAST_LENDERS, ceil(len(drawn) / ROUTERS_A_LENDER))
-    return sorted(drawn[:most], key=lambda host: _draw(f'{workspace}|{host}'))
+    drawn = sorted(hosts, key=_hash)
+    most = max(MIN_LENDERS, ceil(len(drawn) / ROUTERS_PER_LENDER))
+    return sorted(drawn[:most], key=lambda host: _hash(f'{workspace}|{host}'))
 
 
-def _draw(text: str) -> int:
+def _hash(text: str) -> int:
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/loans.py
+++ b/packages/fleet/src/ibisport_fleet/loans.py
@@ -13,11 +13,11 @@
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.peers import PeerClient, PeerHandler, decode_message
 
-PATH = b'/loans'
+LOANS_PATH = b'/loans'
 # The largest whole number that JSON carries exactly everywhere.
 # A negative count would create tokens at the lender.
-MOST_TOKENS = 2**53
-_Tokens = Annotated[int, msgspec.Meta(ge=0, le=MOST_TOKENS)]
+MAX_TOKENS = 2**53
+_TokenCount = Annotated[int, msgspec.Meta(ge=0, le=MAX_TOKENS)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +33,8 @@
 
     lender: str
     workspace: str
-    tokens: _Tokens
-    repaid: _Tokens = 0
+    tokens: _TokenCount
+    repaid: _TokenCount = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,8 +48,8 @@
             any sooner.
     """
 
-    tokens: _Tokens
-    used: _Tokens
+    tokens: _TokenCount
+    used: _TokenCount
     certain: bool
 
 
@@ -77,7 +77,7 @@
     ) -> Loan:
         """Return a lender's answer; see ``LoanPeer``."""
         content = msgspec.json.encode(request)
-        answer = await self._peers.ask(address, PATH, content, deadline)
+        answer = await self._peers.ask(address, LOANS_PATH, content, deadline)
         return decode_message(answer, Loan)
 
 
@@ -90,7 +90,7 @@
     @property
     def handlers(self) -> Mapping[bytes, PeerHandler]:
         """What takes borrowers' messages, by path."""
-        return {PATH: self._handle}
+        return {LOANS_PATH: self._handle}
 
     async def _handle(self, content: bytes) -> bytes:
         loan = await self._lend(decode_message(content, LoanRequest))
--- a/packages/fleet/src/ibisport_fleet/membership.py
+++ b/packages/fleet/src/ibisport_fleet/membership.py
@@ -19,17 +19,17 @@
 SHARED_PREFIX = 'ibisport/router'
 # A lease is renewed and the list read about three times within it, so that one lost
 # answer costs no entry. Both calls cost a tenth of a usual one.
-PRESENCE_SECONDS = 5.0
-PERIOD_S = 1.5
+ENTRY_LEASE_SECONDS = 5.0
+REFRESH_INTERVAL_SECONDS = 1.5
 # The same until the list holds this router: nobody lends or borrows well before.
-START_PERIOD_S = 0.3
+INITIAL_REFRESH_INTERVAL_SECONDS = 0.3
 # Until a router that leaves tries again to end its entry: a store may refuse at once.
-WITHDRAW_PAUSE_S = 0.1
+WITHDRAW_BACKOFF_SECONDS = 0.1
 # An entry that lapsed while the store was away may belong to a living router: it
 # counts among those that share a budget of retries for so long.
-REMEMBERED_SECONDS = 15.0
+HOST_RETENTION_SECONDS = 15.0
 # A stale list may lack the newest entries for some seconds.
-STALE_SECONDS = 6.0
+MAX_LISTING_AGE_SECONDS = 6.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,13 +84,13 @@
         self._read_clock = read_clock
         self._lease = 0
         self._registered_at = 0.0
-        self._seen: dict[str, float] = {}
+        self._last_listed_at: dict[str, float] = {}
         self._leaving = asyncio.Event()
 
     @property
     def count(self) -> int:
         """How many routers there may be, this one counted."""
-        return len(self._list_remembered())
+        return len(self._list_recent_hosts())
 
     def list_others(self) -> list[Member]:
         """Return all other routers of the newest list."""
@@ -113,32 +113,40 @@
         """Wait for the next turn; after ``leave`` it comes soon."""
         if self._leaving.is_set():
             # A leave in the middle of a turn has found its entry not yet ended.
-            await asyncio.sleep(WITHDRAW_PAUSE_S if self._lease else PERIOD_S)
+            await asyncio.sleep(
+                WITHDRAW_BACKOFF_SECONDS if self._lease else REFRESH_INTERVAL_SECONDS
+            )
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(PERIOD_S if self.listed else START_PERIOD_S):
+            async with asyncio.timeout(
+                REFRESH_INTERVAL_SECONDS
+                if self.listed
+                else INITIAL_REFRESH_INTERVAL_SECONDS
+            ):
                 await self._leaving.wait()
 
     async def _refresh(self) -> None:
         if self._leaving.is_set():
             await self._withdraw()
         elif self.may_lend:
-            await self._keep_entry()
+            await self._renew_entry()
         listing = await self._store.scan(SHARED_PREFIX, stale=True)
         entries = [item for item in listing.items if item.key.startswith(MEMBER_PREFIX)]
-        self._take([member for item in entries if (member := self._read(item))])
+        self._apply_members(
+            [member for item in entries if (member := self._decode_entry(item))]
+        )
         if self.on_listing is not None:
             self.on_listing(listing)
 
-    def _read(self, item: Item) -> Member | None:
+    def _decode_entry(self, item: Item) -> Member | None:
         """Return a router's entry; one that can't be read costs no other its place."""
         try:
-            return load_member(item)
+            return decode_member(item)
         except RecordInvalid as error:
             self._log.write(Event.record_refused, reason=str(error)[:200])
             return None
 
-    async def _keep_entry(self) -> None:
+    async def _renew_entry(self) -> None:
         if not (self._lease and await self._store.renew_lease(self._lease)):
             await self._register()
 
@@ -153,35 +161,35 @@
             self._lease = 0
 
     async def _register(self) -> None:
-        lease, _ = await self._store.grant_lease(PRESENCE_SECONDS)
+        lease, _ = await self._store.grant_lease(ENTRY_LEASE_SECONDS)
         key = f'{MEMBER_PREFIX}{self.own.host}'
         await self._store.write((), (Put(key, msgspec.json.encode(self.own), lease),))
         self._lease = lease
         self._registered_at = self._read_clock()
 
-    def _list_remembered(self) -> set[str]:
+    def _list_recent_hosts(self) -> set[str]:
         """Return the hosts of routers that were listed lately, this one's too."""
-        oldest = self._read_clock() - REMEMBERED_SECONDS
-        seen = {host for host, seen in self._seen.items() if seen > oldest}
+        oldest = self._read_clock() - HOST_RETENTION_SECONDS
+        seen = {host for host, seen in self._last_listed_at.items() if seen > oldest}
         return seen | {self.own.host}
 
-    def _take(self, members: list[Member]) -> None:
+    def _apply_members(self, members: list[Member]) -> None:
         now = self._read_clock()
         listed = {member.host: member for member in members}
         known = listed.get(self.own.host)
-        if known != self.own and now - self._registered_at > STALE_SECONDS:
+        if known != self.own and now - self._registered_at > MAX_LISTING_AGE_SECONDS:
             # A write of the process before, done late, has taken the entry's place.
             self._lease = 0
         listed[self.own.host] = self.own
-        self._seen.update(dict.fromkeys(listed, now))
+        self._last_listed_at.update(dict.fromkeys(listed, now))
         if set(listed) != set(self.current):
             self._log.write(Event.members_changed, routers=len(listed))
         self.current = listed
-        self.hosts = frozenset(self._list_remembered())
+        self.hosts = frozenset(self._list_recent_hosts())
         self.listed = self.listed or known == self.own
 
 
-def load_member(item: Item) -> Member:
+def decode_member(item: Item) -> Member:
     """Return the router that an entry tells of.
 
     Raises:
--- a/packages/fleet/src/ibisport_fleet/notices.py
+++ b/packages/fleet/src/ibisport_fleet/notices.py
@@ -7,9 +7,9 @@
 from ibisport_fleet.membership import Member, Membership
 from ibisport_fleet.peers import PeerClient
 
-ANSWER_SECONDS = 1.0
-TRIES = 3
-RETRY_PAUSE_S = 0.5
+ANSWER_TIMEOUT_SECONDS = 1.0
+MAX_ATTEMPTS = 3
+RETRY_BACKOFF_SECONDS = 0.5
 
 
 class Notifier:
@@ -33,13 +33,13 @@
     async def _send(self, member: Member, path: bytes, content: bytes) -> None:
         loop = asyncio.get_running_loop()
         reason = ''
-        for _ in range(TRIES):
-            deadline = loop.time() + ANSWER_SECONDS
+        for _ in range(MAX_ATTEMPTS):
+            deadline = loop.time() + ANSWER_TIMEOUT_SECONDS
             try:
                 await self._peers.ask(member.address, path, content, deadline)
             except PeerUnavailable as error:
                 reason = str(error)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RETRY_BACKOFF_SECONDS)
             else:
                 return
         self._log.write(
--- a/packages/fleet/src/ibisport_fleet/peers.py
+++ b/packages/fleet/src/ibisport_fleet/peers.py
@@ -22,15 +22,15 @@
 from ibisport_fleet.request_reader import RequestReader
 
 HEADERS: Headers = ((b'host', b'router'), (b'content-type', b'application/json'))
-ANSWER = (
+ANSWER_TEMPLATE = (
     b'HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n'
 )
 LIMITS = Limits(max_header_bytes=1_024, max_body_bytes=65_536)
 # Servers keep connections open for so long; clients give them up before.
-IDLE_SECONDS = 30.0
-POOLED_SECONDS = 20.0
+IDLE_TIMEOUT_SECONDS = 30.0
+POOL_IDLE_SECONDS = 20.0
 # Connecting takes under 5 ms between failure domains.
-CONNECT_SECONDS = 0.1
+CONNECT_TIMEOUT_SECONDS = 0.1
 
 PeerHandler = Callable[[bytes], Awaitable[bytes]]
 _Message = TypeVar('_Message')
@@ -57,7 +57,7 @@
             PeerUnavailable: No usable answer came by then.
         """
         loop = asyncio.get_running_loop()
-        connect_until = min(deadline, loop.time() + CONNECT_SECONDS)
+        connect_until = min(deadline, loop.time() + CONNECT_TIMEOUT_SECONDS)
         try:
             exchange = self._pool.acquire_idle(address) or await self._pool.open(
                 address, connect_until
@@ -74,7 +74,7 @@
         except asyncio.CancelledError:
             exchange.close()
             raise
-        self._pool.release(exchange, POOLED_SECONDS)
+        self._pool.release(exchange, POOL_IDLE_SECONDS)
         return answer.body
 
 
@@ -99,11 +99,13 @@
     async def _serve(self, channel: Channel) -> None:
         reader = RequestReader(channel, LIMITS)
         try:
-            async with asyncio.timeout(IDLE_SECONDS) as timer:
+            async with asyncio.timeout(IDLE_TIMEOUT_SECONDS) as timer:
                 while (request := await reader.read()) is not None:
                     content = await self._handle(request.target, request.body)
-                    channel.write(ANSWER % len(content) + content)
-                    timer.reschedule(asyncio.get_running_loop().time() + IDLE_SECONDS)
+                    channel.write(ANSWER_TEMPLATE % len(content) + content)
+                    timer.reschedule(
+                        asyncio.get_running_loop().time() + IDLE_TIMEOUT_SECONDS
+                    )
         except (FleetError, TimeoutError):
             # The peer sees its connection end and asks elsewhere.
             channel.abort()
--- a/packages/fleet/src/ibisport_fleet/formersession.py
+++ b/packages/fleet/src/ibisport_fleet/predecessor.py
@@ -7,19 +7,19 @@
 from ibisport_fleet.budget_page import Session
 from ibisport_fleet.errors import RecordInvalid
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.hostrecord import HostRecord, load_record
+from ibisport_fleet.host_record import HostRecord, decode_record
 from ibisport_fleet.store import Item
 
 # A crash of all routers is over within 1.2 s and half a second of starting; the
 # proof is up to 0.7 s old then.
-PROOF_SECONDS = 2.5
+PROOF_LEASE_SECONDS = 2.5
 # The wall clock only takes trust away: a proof that looks older than its lease
 # was held up by an outage of the store.
-WALL_MARGIN_S = 0.5
+WALL_CLOCK_MARGIN_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Remains:
+class PredecessorState:
     """What a process left in the store besides its shares in the page.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 def bound_spent(
-    before: Session | None, remains: Remains, after: Successor, log: EventLog
+    before: Session | None, remains: PredecessorState, after: Successor, log: EventLog
 ) -> dict[str, int]:
     """Return bounds of what a process has spent, by workspace; empty if unknown.
 
@@ -65,7 +65,7 @@
     if before is None or remains.record is None:
         return {}
     try:
-        record = load_record(remains.record.content)
+        record = decode_record(remains.record.content)
     except RecordInvalid as error:
         log.write(Event.record_refused, reason=str(error))
         return {}
@@ -73,7 +73,7 @@
         return {}
     if record.final or _ended_in_contact(record, after):
         return record.caps
-    if _proves(remains.proof, before, after.wall, log):
+    if _is_proof_valid(remains.proof, before, after.wall, log):
         return record.caps
     return {}
 
@@ -89,7 +89,9 @@
     return same_run and record.written_at <= after.started_at <= record.bound_until
 
 
-def _proves(proof: Item | None, before: Session, wall: float, log: EventLog) -> bool:
+def _is_proof_valid(
+    proof: Item | None, before: Session, wall: float, log: EventLog
+) -> bool:
     """Whether a proof of contact shows that the process kept to its record."""
     if proof is None:
         return False
@@ -101,4 +103,7 @@
         log.write(Event.record_refused, key=proof.key, reason=repr(error))
         return False
     age = wall - written
-    return incarnation == before.incarnation and age < PROOF_SECONDS + WALL_MARGIN_S
+    return (
+        incarnation == before.incarnation
+        and age < PROOF_LEASE_SECONDS + WALL_CLOCK_MARGIN_SECONDS
+    )
--- a/packages/fleet/src/ibisport_fleet/shutdown.py
+++ b/packages/fleet/src/ibisport_fleet/shutdown.py
@@ -13,21 +13,21 @@
 # The balancer has had its two misses by then. Who comes later, on an open connection or
 # since too many routers leave at once, is taken only if the answer is due before the
 # end.
-ACCEPT_S = 2.8
+ACCEPTING_SECONDS = 2.8
 # The others' lists are up to 1.5 s old. A lender that leaves stays on them at first, so
 # that of many routers that stop one after another few are missing, and lends as long as
 # it may still be asked.
-LISTED_S = 1.3
-LENDING_S = 3.0
+LISTED_SECONDS = 1.3
+LENDING_SECONDS = 3.0
 # The first of many routers that stopped together have ended by then, with what they had
 # taken last, and started again.
-RESTART_S = 5.0
+RESTART_SECONDS = 5.0
 # Before the kill: the first account of what was spent, which may meet a slow store.
-ACCOUNTS_MARGIN_S = 1.0
+SETTLEMENT_MARGIN_SECONDS = 1.0
 # Before the kill: final answers, the last account and what slow links still carry.
-ANSWERS_MARGIN_S = 0.6
+ANSWER_MARGIN_SECONDS = 0.6
 # Before the kill: the end of the process itself.
-END_MARGIN_S = 0.25
+EXIT_MARGIN_SECONDS = 0.25
 # The grace that these figures are made for; with a shorter one all of them shrink, so
 # that answers still run until its last sixth.
 REFERENCE_GRACE_SECONDS = 8.0
@@ -80,12 +80,12 @@
     scale = min(1.0, grace / REFERENCE_GRACE_SECONDS)
     return Shutdown(
         begun_at=begun_at,
-        listed_until=begun_at + LISTED_S * scale,
-        lends_until=begun_at + LENDING_S * scale,
-        accepts_until=begun_at + ACCEPT_S * scale,
+        listed_until=begun_at + LISTED_SECONDS * scale,
+        lends_until=begun_at + LENDING_SECONDS * scale,
+        accepts_until=begun_at + ACCEPTING_SECONDS * scale,
         listening_until=begun_at + LISTENING_SECONDS * scale,
-        restarts_at=begun_at + RESTART_S * scale,
-        settlement_at=killed_at - ACCOUNTS_MARGIN_S * scale,
-        answers_until=killed_at - ANSWERS_MARGIN_S * scale,
-        ends_at=killed_at - END_MARGIN_S * scale,
+        restarts_at=begun_at + RESTART_SECONDS * scale,
+        settlement_at=killed_at - SETTLEMENT_MARGIN_SECONDS * scale,
+        answers_until=killed_at - ANSWER_MARGIN_SECONDS * scale,
+        ends_at=killed_at - EXIT_MARGIN_SECONDS * scale,
     )
--- a/packages/fleet/src/ibisport_fleet/store_contact.py
+++ b/packages/fleet/src/ibisport_fleet/store_contact.py
@@ -4,7 +4,7 @@
 
 # Entries live for 3.6 s and are renewed every 1.2 s: an outage shorter than the
 # difference makes none lapse. A watch that waits may have begun 1.5 s before.
-LEAST_OUTAGE_S = 2.2
+MIN_OUTAGE_SECONDS = 2.2
 
 
 class StoreContact:
@@ -28,6 +28,6 @@
         """Note an answer; return the seconds since the one before."""
         away = now - self._last_answer
         self._last_answer = now
-        if away >= LEAST_OUTAGE_S:
+        if away >= MIN_OUTAGE_SECONDS:
             self.doubtful_until = now + RETURN_GRACE_SECONDS
         return away
