--- a/features/budgets.feature
+++ b/features/budgets.feature
@@ -1,49 +1,49 @@
 Feature: Prepaid budgets over many routers
 
-  Scenario: No mixture of crashes, cuts and lost answers overspends a budget
+  Scenario: No combination of crashes, partitions and lost answers overspends a budget
     Given routers that share one budget in virtual time
-    When 40 mixtures of faults are played
+    When 40 generated sequences of faults are run
     Then no budget was ever overspent
     And most requests were served while the budget lasted
 
-  Scenario: A session is opened before any draw, however often the page changes
-    Given 5 routers that are all killed while their callers press on
+  Scenario: A session opens before any draw, even if the page changes often
+    Given 5 routers that are all killed under load
     When they have started again
     Then what was spent and what is held fits the budget
-    And each dead process is accounted for
+    And each ended process is settled
 
-  Scenario: All routers die in contact and hardly anything is stranded
+  Scenario: A crash of all routers in contact with the store strands few tokens
     Given 5 routers that have spent a third of a budget
     When all of them are killed at once and start again
     Then less than 5 % of the budget is stranded
 
-  Scenario: A lender that dies as the store goes away strands hardly anything
+  Scenario: A lender that dies when the store goes down strands few tokens
     Given 5 routers that have spent a third of a budget
     When the store goes down, the lender is killed 0.2 s later and the store is back after 6 s
     Then less than 5 % of the budget is stranded
 
-  Scenario: What a machine's former run wrote proves nothing
+  Scenario: A host record from before a reboot proves nothing
     Given 5 routers that have spent a third of a budget
-    When the store goes down, the lender's machine starts again and the store is back after 6 s
+    When the store goes down, the lender's machine reboots and the store is back after 6 s
     Then what the lender held counts as spent
 
-  Scenario: A router that leaves gives back all that it holds
+  Scenario: A stopped router returns its unspent tokens
     Given 5 routers that have spent a third of a budget
     When one of them is stopped while the store is slow
     Then less than 1 % of the budget is stranded
 
-  Scenario: While the store is slow callers wait for a draw instead of being refused
+  Scenario: Requests wait for tokens instead of being refused while the store is slow
     Given 5 routers that have spent a third of a budget
     When the store takes 60 times as long for 5 seconds
     Then fewer than 1 in 20 requests of these seconds are refused
 
-  Scenario Outline: A process that dies in contact never spent more than is counted
+  Scenario Outline: A process that dies in contact with the store never spent more than is counted
     Given 5 routers that have spent a third of a budget
-    When 40 requests come at once and <who> dies <delay> ms later
-    Then no less counts as spent than callers may have got
+    When 40 requests come at once and <victim> dies <delay> ms later
+    Then at least the tokens that callers may have received count as spent
 
     Examples:
-      | who        | delay |
+      | victim     | delay |
       | the lender | 2     |
       | the lender | 6     |
       | a borrower | 2     |
@@ -51,40 +51,40 @@
       | a borrower | 60    |
 
   Scenario: Routers that are cut off from the store lend to each other
-    Given 5 routers of which each reaches the others only
-    When callers go on for 2 seconds
+    Given 5 routers that reach each other but not the store
+    When requests continue for 2 seconds
     Then all requests are served though only one router holds tokens
 
-  Scenario: A loan whose answer is lost overspends nothing
-    Given 5 routers whose loans are answered and lost half of the time
-    When callers go on for 5 seconds
-    Then no less counts as spent than callers got, and the budget holds
+  Scenario: A loan whose answer is lost does not overspend the budget
+    Given 5 routers that lose half of the answers to loans
+    When requests continue for 5 seconds
+    Then at least the delivered tokens count as spent, and the budget is not overspent
 
-  Scenario: Loans spare the store
+  Scenario: Loans keep the rate of store calls low
     Given 5 routers that share a budget without faults
     Then the store is called less than 15 times a second in all
 
-  Scenario: What a conflict keeps from being given back goes back soon after
+  Scenario: Tokens whose return met a conflict are returned soon afterwards
     Given 5 routers that share a budget without faults
-    When one of them draws for itself and the page then changes all the time
+    When one of them draws from the store and the page then changes constantly
     Then it holds no more than it has spent 4 seconds later
 
-  Scenario: A router opens soon though others write the page all the time
+  Scenario: A router opens its session soon although the page changes constantly
     Given 5 routers that share a budget without faults
     When one of them is killed and the page changes every 8 ms
-    Then its next process has accounted for it within 4 seconds
+    Then its next process has settled it within 4 seconds
 
-  Scenario: Routers that are stopped one after another refuse hardly anything
-    Given budgets that are nearly whole, and 30 routers on narrow links
+  Scenario: A rolling restart of all routers refuses few requests
+    Given nearly unspent budgets, and 30 routers on low-bandwidth links
     When all of them are stopped and started in turn, twice, with 3 seeds
     Then at most 2 % of the requests are refused
-    And no budget is overspent and less than 0.1 % of all is stranded
+    And no budget is overspent and less than 0.1 % of the tokens are stranded
     And the store is called at most 3 times for 4 requests
 
-  Scenario: What a host holds nothing of takes no place on the shared page
+  Scenario: Shares without tokens are left out of the budget page
     Given 5 routers that have run for 6 seconds with 24 budgets
-    Then the page tells of no share that holds nothing
+    Then the page contains no share without tokens
 
-  Scenario: Routers that start at once don't keep the store busy for each other
+  Scenario: More routers that start at once cause no more store calls per router
     When 5 routers start at once, and 60 elsewhere
-    Then for each router the store is called no more often where 60 start
+    Then the number of store calls per router is no higher where 60 start
--- a/features/records.feature
+++ b/features/records.feature
@@ -1,48 +1,48 @@
-Feature: Records of other writers, and targets that start again
-
-  Scenario: A target that starts again under its id begins anew
-    Given a router's list of two targets of which one has failed and holds a prompt
-    When that target is gone and starts again under its id
-    Then it takes new work and nothing of its former start is known
-
-  Scenario: A target that left doesn't come back by an old word
-    Given a router's list of two targets of which one has failed and holds a prompt
-    When that target drains and an older word of it is written late
-    Then it takes no new work
-
-  Scenario: What a former start wrote late doesn't replace the present one
-    Given a router's list of two targets of which one has failed and holds a prompt
-    When that target starts again and the former start's draining is written late
-    Then it takes new work and nothing of its former start is known
-
-  Scenario: A known target whose entry turns unreadable gets nothing more
-    Given a router's list of two targets of which one has failed and holds a prompt
-    When each kind of unreadable entry is written over that target's
-    Then it takes no new work each time, the other does, and each is logged once
-    And it takes new work once its entry can be read again
-
-  Scenario: A listing with unreadable entries costs no other entry its place
-    Given a router's list of two targets of which one has failed and holds a prompt
-    When a listing comes in which that target's entry is unreadable
-    Then it takes no new work
+Feature: Invalid records in the store, and targets that restart
+
+  Scenario: A target that restarts under its id keeps no history
+    Given a router's list of two targets, one with a failure and a cached prompt
+    When that target is removed and restarts under its id
+    Then it gets new requests and nothing of its former start is known
+
+  Scenario: A late write of an older state does not restore a draining target
+    Given a router's list of two targets, one with a failure and a cached prompt
+    When that target drains and an older state of it is written late
+    Then it gets no new requests
+
+  Scenario: A late write of a former start does not replace the current entry
+    Given a router's list of two targets, one with a failure and a cached prompt
+    When that target restarts and the former start's draining is written late
+    Then it gets new requests and nothing of its former start is known
+
+  Scenario: A known target whose entry becomes invalid gets no more requests
+    Given a router's list of two targets, one with a failure and a cached prompt
+    When each kind of invalid entry replaces that target's entry
+    Then it gets no new requests each time, the other does, and each entry is logged once
+    And it gets new requests once its entry is valid again
+
+  Scenario: An invalid entry in a listing does not affect other entries
+    Given a router's list of two targets, one with a failure and a cached prompt
+    When a listing arrives in which that target's entry is invalid
+    Then it gets no new requests
     And the other target still does
 
-  Scenario: Whatever stands in the store is read or refused
-    When 200 generated contents are read as each kind of record
-    Then each is read or refused as a record
+  Scenario: Any content in the store is decoded or rejected
+    When 200 generated contents are decoded as each kind of record
+    Then each is decoded or rejected as invalid
 
   Scenario: A loan of a negative number of tokens is refused
     Given a router that lends
-    When loans of absurd numbers of tokens are asked for
-    Then nothing was lent and the asker knows that nobody answered
+    When loans of out-of-range numbers of tokens are requested
+    Then nothing was lent and the borrower got no answer
 
-  Scenario Outline: A settings file that can't be meant is refused as a whole
-    Given a settings file with <wrong>
+  Scenario Outline: An invalid settings file is rejected as a whole
+    Given a settings file with <error>
     When it is read
     Then it is refused, and the reason is told
 
     Examples:
-      | wrong                          |
+      | error                          |
       | a grace time of -1             |
       | a grace time of nan            |
       | a grace time of inf            |
--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -1,4 +1,4 @@
-"""Steps on budgets: the shipped ledger, page and keeper in virtual time."""
+"""Steps on budgets: the real ledger, budget page and synchronizer in virtual time."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 BUDGET = 1_000_000
 REQUEST_TOKENS = 2_000
 WORKSPACES = 24
-# A call takes 10 ms instead of 4.
+# Factor on the duration of store calls: 10 ms instead of 4.
 STORE_SLOWDOWN = 2.5
 RECOVERY_SECONDS = 12.0
 KILL_SECONDS = 0.002
@@ -51,12 +51,12 @@
 )
 
 
-# The loop keeps no reference to a task.
+# The event loop keeps only weak references to tasks.
 RESTART_TASKS = set()
 
 
 async def _send_mixed_requests(world, seconds, per_second, rng):
-    """Send requests to all hosts for some seconds."""
+    """Send requests of various costs to random hosts for some seconds."""
     for _ in range(int(seconds * per_second)):
         tokens = rng.choice((500, REQUEST_TOKENS, 9_000, 40_000))
         world.ask(rng.randrange(5), tokens, rng.random(), rng.uniform(0.05, 3.0))
@@ -64,14 +64,14 @@
 
 
 async def _send_usual_requests(world, count, rng):
-    """Send usual requests to all hosts, 30 a second."""
+    """Send requests of the usual cost to random hosts, 30 per second."""
     for _ in range(count):
         world.ask(rng.randrange(5), REQUEST_TOKENS, 0.9, 0.3)
         await asyncio.sleep(1 / 30)
 
 
 def _start_rolling_restart(world, fault, number):
-    """Stop one host's process, or all in turn; they leave while callers go on."""
+    """Stop one host's process, or all in turn, while requests continue."""
 
     async def leave(turn, number):
         await asyncio.sleep(0.25 * turn)
@@ -117,7 +117,7 @@
 
 
 async def _run_faults(steps, seed):
-    # The product spreads its pauses by the module's own generator.
+    # The product draws its random delays from the global generator.
     random.seed(seed)
     world = BudgetWorld(hosts=5, budget=BUDGET, seed=seed)
     rng = random.Random(seed)
@@ -145,10 +145,10 @@
 
 
 def _measure_stranded(world):
-    """Return what counts as spent, at all hosts, and was not delivered.
+    """Return the tokens that count as spent at any host but were not delivered.
 
     Loans count as spent at the lender and are delivered at the borrower, so only the
-    sum over all hosts says something.
+    sum over all hosts is meaningful.
     """
     page = decode_page(world.service.items[PAGE_KEY].content)
     return page.find('acme').closed + world.count_used() - world.delivered
@@ -157,10 +157,10 @@
 @given('routers that share one budget in virtual time')
 def start_counting(context):
     context.served = 0
-    context.mixtures = 0
+    context.sequences = 0
 
 
-@when('{count:d} mixtures of faults are played')
+@when('{count:d} generated sequences of faults are run')
 def play_mixtures(context, count):
     @settings(
         max_examples=count,
@@ -173,22 +173,22 @@
     def play(steps, seed):
         world = run_virtually(_run_faults(steps, seed))
         context.served += world.outcomes['served']
-        context.mixtures += 1
+        context.sequences += 1
 
     play()
 
 
 @then('no budget was ever overspent')
 def check_never(context):
-    assert context.mixtures >= 40, context.mixtures
+    assert context.sequences >= 40, context.sequences
 
 
 @then('most requests were served while the budget lasted')
 def check_served(context):
-    assert context.served > 20 * context.mixtures, context.served
+    assert context.served > 20 * context.sequences, context.served
 
 
-@given('5 routers that are all killed while their callers press on')
+@given('5 routers that are all killed under load')
 def kill_under_load(context):
     async def run():
         random.seed(7)
@@ -202,12 +202,12 @@
         await _send_mixed_requests(world, 4.0, 100, rng)
         return world
 
-    context.work = run
+    context.run_world = run
 
 
 @when('they have started again')
 def start_again(context):
-    context.world = run_virtually(context.work())
+    context.world = run_virtually(context.run_world())
 
 
 @then('what was spent and what is held fits the budget')
@@ -217,7 +217,7 @@
     assert context.world.delivered <= BUDGET
 
 
-@then('each dead process is accounted for')
+@then('each ended process is settled')
 def check_closed(context):
     page = decode_page(context.world.service.items[PAGE_KEY].content)
     assert page.find('acme').closed > 0
@@ -241,14 +241,14 @@
     context.world = run_virtually(run())
 
 
-async def _kill_in_outage(context, power):
+async def _kill_in_outage(context, reboot):
     world = await context.prepare()
     lender = rank_lenders(world.names, 'acme')[0]
     world.service.faults.down = True
     await asyncio.sleep(0.2)
     page = decode_page(world.service.items[PAGE_KEY].content)
     context.cap = page.find('acme').shares[lender].cap
-    if power:
+    if reboot:
         world.find_host(lender).boots += 1
     world.kill(world.names.index(lender))
     await asyncio.sleep(6.0)
@@ -262,15 +262,14 @@
     'and the store is back after 6 s'
 )
 def kill_lender(context):
-    context.world = run_virtually(_kill_in_outage(context, power=False))
+    context.world = run_virtually(_kill_in_outage(context, reboot=False))
 
 
 @when(
-    "the store goes down, the lender's machine starts again "
-    'and the store is back after 6 s'
+    "the store goes down, the lender's machine reboots and the store is back after 6 s"
 )
 def restart_machine(context):
-    context.world = run_virtually(_kill_in_outage(context, power=True))
+    context.world = run_virtually(_kill_in_outage(context, reboot=True))
 
 
 @then('what the lender held counts as spent')
@@ -320,34 +319,34 @@
     assert refused * 20 < outcomes.total(), outcomes
 
 
-@when('{count:d} requests come at once and {who} dies {delay:d} ms later')
-def burst_and_kill(context, count, who, delay):
+@when('{count:d} requests come at once and {victim} dies {delay:d} ms later')
+def burst_and_kill(context, count, victim, delay):
     async def run():
         world = await context.prepare()
         ranked = rank_lenders(world.names, 'acme')
         borrower = next(name for name in world.names if name not in ranked)
-        victim = {'the lender': ranked[0], 'a borrower': borrower}[who]
+        killed = {'the lender': ranked[0], 'a borrower': borrower}[victim]
         for _ in range(count):
             world.ask(world.names.index(borrower), REQUEST_TOKENS, 1.0, 5.0)
         await asyncio.sleep(delay / 1_000)
-        world.kill(world.names.index(victim))
+        world.kill(world.names.index(killed))
         await asyncio.sleep(RECOVERY_SECONDS)
         return world
 
     context.world = run_virtually(run())
 
 
-@then('no less counts as spent than callers may have got')
+@then('at least the tokens that callers may have received count as spent')
 def check_charged(context):
     assert _measure_stranded(context.world) >= 0
 
 
-@given('5 routers of which each reaches the others only')
+@given('5 routers that reach each other but not the store')
 def cut_store(context):
     async def run():
         world = await _run_until_third_spent()
         world.service.faults.down = True
-        # The lender's proof of contact has run out then.
+        # The lender's contact proof has expired by then.
         await asyncio.sleep(3.0)
         world.outcomes.clear()
         return world
@@ -355,7 +354,7 @@
     context.prepare = run
 
 
-@when('callers go on for {seconds:d} seconds')
+@when('requests continue for {seconds:d} seconds')
 def go_on(context, seconds):
     async def run():
         world = await context.prepare()
@@ -372,7 +371,7 @@
     assert context.world.outcomes == {'served': context.world.outcomes.total()}
 
 
-@given('5 routers whose loans are answered and lost half of the time')
+@given('5 routers that lose half of the answers to loans')
 def lose_loans(context):
     async def run():
         world = await _run_until_third_spent()
@@ -382,7 +381,7 @@
     context.prepare = run
 
 
-@then('no less counts as spent than callers got, and the budget holds')
+@then('at least the delivered tokens count as spent, and the budget is not overspent')
 def check_lost(context):
     page = decode_page(context.world.service.items[PAGE_KEY].content)
     assert page.find('acme').held <= BUDGET
@@ -394,8 +393,8 @@
     context.prepare = _run_until_third_spent
 
 
-@then('the store is called less than {most:g} times a second in all')
-def check_calls(context, most):
+@then('the store is called less than {max_rate:g} times a second in all')
+def check_calls(context, max_rate):
     async def run():
         world = await context.prepare()
         rng = random.Random(5)
@@ -403,12 +402,12 @@
         await _send_usual_requests(world, 300, rng)
         return world.service.calls - before
 
-    # The stand-in counts the way there and the way back.
+    # The simulated store counts a request and its answer separately.
     calls = run_virtually(run()) / 2
-    assert calls / 10 < most, calls
+    assert calls / 10 < max_rate, calls
 
 
-@when('one of them draws for itself and the page then changes all the time')
+@when('one of them draws from the store and the page then changes constantly')
 def draw_in_conflict(context):
     async def run():
         world = await context.prepare()
@@ -418,7 +417,7 @@
         world.ask(world.names.index(drawer), 40_000, 0.1, 0.1)
         await asyncio.sleep(0.08)
         for _ in range(1_000):
-            # Whoever else writes the page: every write of ours meets a conflict.
+            # Another writer changes the page, so that every write conflicts.
             world.service.put(PAGE_KEY, world.service.items[PAGE_KEY].content)
             await asyncio.sleep(0.002)
         await asyncio.sleep(2.0)
@@ -431,7 +430,7 @@
 @then('it holds no more than it has spent 4 seconds later')
 def check_given_back(context):
     assert context.share.cap == context.share.used, context.share
-    # It did spend something: what was asked at it came out of its own share.
+    # The request was paid from the share, so the check above is not trivial.
     assert context.share.used > 0, context.share
 
 
@@ -451,14 +450,14 @@
     context.sessions = run_virtually(run())
 
 
-@then('its next process has accounted for it within 4 seconds')
+@then('its next process has settled it within 4 seconds')
 def check_opened(context):
     before, after = context.sessions
     assert after is not None
     assert after.incarnation != before.incarnation
 
 
-@given('budgets that are nearly whole, and 30 routers on narrow links')
+@given('nearly unspent budgets, and 30 routers on low-bandwidth links')
 def prepare_rolling_restarts(context):
     context.play = play_rolls
 
@@ -474,7 +473,7 @@
     assert refused * 100 <= percent, context.reports
 
 
-@then('no budget is overspent and less than {percent:g} % of all is stranded')
+@then('no budget is overspent and less than {percent:g} % of the tokens are stranded')
 def check_rolled_budgets(context, percent):
     for report in context.reports:
         assert report.overspent == 0, report
@@ -493,7 +492,7 @@
     context.world = run_virtually(run())
 
 
-@then('the page tells of no share that holds nothing')
+@then('the page contains no share without tokens')
 def check_page(context):
     page = decode_page(context.world.service.items[PAGE_KEY].content)
     shares = [
@@ -515,7 +514,7 @@
     context.calls = [run_virtually(run(hosts)) for hosts in (few, many)]
 
 
-@then('for each router the store is called no more often where 60 start')
+@then('the number of store calls per router is no higher where 60 start')
 def check_start(context):
     few, many = context.calls
     assert many <= few, context.calls
--- a/features/steps/generated_steps.py
+++ b/features/steps/generated_steps.py
@@ -1,4 +1,4 @@
-"""Steps that check plans, headers and pages on generated input."""
+"""Property-based steps on cap planning, headers and the budget page."""
 
 from behave import then, when
 from hypothesis import HealthCheck, settings, strategies
@@ -117,17 +117,17 @@
             names, strategies.builds(Session, names, strategies.integers(0, 10**9))
         ),
     )
-    context.turned = 0
+    context.round_trips = 0
 
     @settings(REPRODUCIBLE, max_examples=count)
     @forall(pages)
-    def turn(page):
+    def check_round_trip(page):
         assert decode_page(encode_page(page)) == page
-        context.turned += 1
+        context.round_trips += 1
 
-    turn()
+    check_round_trip()
 
 
 @then('each is the same as before')
 def check_round_trips(context):
-    assert context.turned >= 100, context.turned
+    assert context.round_trips >= 100, context.round_trips
--- a/features/steps/records_steps.py
+++ b/features/steps/records_steps.py
@@ -1,4 +1,4 @@
-"""Steps on records that others wrote, and on targets that start again."""
+"""Steps on invalid records in the store, and on targets that restart."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 OTHER = 'servers/i-1'
 BORN = 1_790_000_000_000
 PARTS = (PromptPart('shared', 6_000), PromptPart('own', 10))
-UNREADABLE = (
+INVALID_CONTENTS = (
     b'',
     b'\xff\xfe',
     b'[]',
@@ -47,7 +47,7 @@
     'seq': 1,
     'born': BORN,
 }
-WRONG = {
+INVALID_VALUES = {
     'service': 7,
     'address': '10.0.0.1:99999',
     'zone': None,
@@ -57,11 +57,11 @@
     'born': '1790000000000',
 }
 NEVER = 0.0
-ABSURD = (-1, -(10**9), 2**60)
+OUT_OF_RANGE = (-1, -(10**9), 2**60)
 
 
 class _RecordedLog:
-    """Counts the lines of a log."""
+    """Records the lines of an event log."""
 
     def __init__(self):
         self.written = []
@@ -76,19 +76,21 @@
 
 
 def _list_serving(context):
-    return {one.entry.incarnation for one in context.view.list_candidates('svc')}
+    return {
+        candidate.entry.incarnation for candidate in context.view.list_candidates('svc')
+    }
 
 
-def _run(context, work):
-    """Run steps of the view inside an event loop, whose clock it reads."""
+def _run(context, function):
+    """Run a function inside an event loop, whose clock the view reads."""
 
     async def run():
-        return work(context)
+        return function(context)
 
     return asyncio.run(run())
 
 
-@given("a router's list of two targets of which one has failed and holds a prompt")
+@given("a router's list of two targets, one with a failure and a cached prompt")
 def make_view(context):
     context.log = _RecordedLog()
     context.view = TargetView(decode_target, parse_incarnation, context.log)
@@ -104,7 +106,7 @@
     _run(context, fill)
 
 
-@when('that target is gone and starts again under its id')
+@when('that target is removed and restarts under its id')
 def start_again(context):
     def change(context):
         context.view.apply_change(Removal(KEY, 3), NEVER)
@@ -114,7 +116,7 @@
     _run(context, change)
 
 
-@when('that target drains and an older word of it is written late')
+@when('that target drains and an older state of it is written late')
 def drain(context):
     def change(context):
         context.view.apply_change(_write(KEY, 3, state='draining'), NEVER)
@@ -123,8 +125,8 @@
     _run(context, change)
 
 
-@when("that target starts again and the former start's draining is written late")
-def cross(context):
+@when("that target restarts and the former start's draining is written late")
+def restart_and_drain(context):
     def change(context):
         context.view.apply_change(_write(KEY, 3, born=BORN + 5_000), NEVER)
         context.view.apply_change(_write(KEY, 4, state='draining'), NEVER)
@@ -132,11 +134,15 @@
     _run(context, change)
 
 
-@then('it takes new work and nothing of its former start is known')
+@then('it gets new requests and nothing of its former start is known')
 def check_fresh(context):
     def check(context):
         candidates = context.view.list_candidates('svc')
-        found = next(one for one in candidates if one.entry.incarnation == 'i-0')
+        found = next(
+            candidate
+            for candidate in candidates
+            if candidate.entry.incarnation == 'i-0'
+        )
         assert found.entry.started_at_ms == BORN + 5_000
         assert not found.health.failures
         assert not found.health.has_cached('shared', 1e9)
@@ -144,7 +150,7 @@
     _run(context, check)
 
 
-@then('it takes no new work')
+@then('it gets no new requests')
 def check_gone(context):
     assert _run(context, _list_serving) == {'i-1'}
 
@@ -154,15 +160,18 @@
     assert 'i-1' in _run(context, _list_serving)
 
 
-@when("each kind of unreadable entry is written over that target's")
-def spoil(context):
+@when("each kind of invalid entry replaces that target's entry")
+def replace_entry(context):
     missing = [
-        {name: one for name, one in FIELDS.items() if name != left}
-        for left in FIELDS
-        if left != 'born'
+        {name: content for name, content in FIELDS.items() if name != omitted}
+        for omitted in FIELDS
+        if omitted != 'born'
+    ]
+    wrong = [{**FIELDS, name: value} for name, value in INVALID_VALUES.items()]
+    contents = [
+        *INVALID_CONTENTS,
+        *(json.dumps(entry).encode() for entry in missing + wrong),
     ]
-    wrong = [{**FIELDS, name: value} for name, value in WRONG.items()]
-    contents = [*UNREADABLE, *(json.dumps(one).encode() for one in missing + wrong)]
     context.after = []
 
     def change(context):
@@ -183,21 +192,23 @@
     _run(context, change)
 
 
-@then('it takes no new work each time, the other does, and each is logged once')
-def check_spoilt(context):
-    assert len(context.after) > len(WRONG)
+@then(
+    'it gets no new requests each time, the other does, and each entry is logged once'
+)
+def check_invalid_entries(context):
+    assert len(context.after) > len(INVALID_VALUES)
     for content, serving, logged in context.after:
         assert serving == {'i-1'}, content[:80]
         assert logged == 1, content[:80]
 
 
-@then('it takes new work once its entry can be read again')
+@then('it gets new requests once its entry is valid again')
 def check_back(context):
     assert _run(context, _list_serving) == {'i-0', 'i-1'}
 
 
-@when("a listing comes in which that target's entry is unreadable")
-def list_spoilt(context):
+@when("a listing arrives in which that target's entry is invalid")
+def list_invalid_entry(context):
     def change(context):
         items = (Item(KEY, b'{}', 9), _write(OTHER, 2, address='10.0.0.2:8080'))
         context.view.apply_listing(Listing(items, 9), NEVER)
@@ -205,7 +216,7 @@
     _run(context, change)
 
 
-@when('200 generated contents are read as each kind of record')
+@when('200 generated contents are decoded as each kind of record')
 def read_generated(context):
     context.outcomes = set()
     scalars = strategies.none() | strategies.booleans() | strategies.text(max_size=8)
@@ -224,7 +235,7 @@
         max_leaves=12,
     )
     records = strategies.dictionaries(names, documents, max_size=9)
-    written = (documents | records).map(lambda one: json.dumps(one).encode())
+    written = (documents | records).map(lambda document: json.dumps(document).encode())
     readers = (
         decode_target,
         decode_catalogue,
@@ -253,9 +264,9 @@
     read()
 
 
-@then('each is read or refused as a record')
+@then('each is decoded or rejected as invalid')
 def check_read(context):
-    # Any other exception would have ended the step before.
+    # Any other exception would have failed the previous step.
     assert 'refused' in context.outcomes, context.outcomes
 
 
@@ -264,39 +275,39 @@
     context.lent = []
 
 
-@when('loans of absurd numbers of tokens are asked for')
-def ask_absurd(context):
+@when('loans of out-of-range numbers of tokens are requested')
+def request_out_of_range(context):
     async def lend(request):
         context.lent.append(request)
         return Loan(request.tokens, 0, certain=True)
 
-    async def ask():
+    async def request_loans():
         loop = asyncio.get_running_loop()
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
         lender = PeerServer(LoanServer(lend).handlers, log)
         listener = await loop.create_server(lender.connections.accept, '127.0.0.1', 0)
         address = listener.sockets[0].getsockname()
         client = LoanClient(PeerClient(ConnectionPool()))
-        until = loop.time() + 5
+        deadline = loop.time() + 5
         refused = 0
-        for tokens in ABSURD:
+        for tokens in OUT_OF_RANGE:
             for request in (
                 LoanRequest('a', 'w', tokens),
                 LoanRequest('a', 'w', 0, repaid=tokens),
             ):
                 try:
-                    await client.ask(address, request, until)
+                    await client.ask(address, request, deadline)
                 except PeerUnavailable:
                     refused += 1
-        honest = await client.ask(address, LoanRequest('a', 'w', 5), until)
+        valid_loan = await client.ask(address, LoanRequest('a', 'w', 5), deadline)
         listener.close()
-        return refused, honest
+        return refused, valid_loan
 
-    context.refused, context.honest = asyncio.run(ask())
+    context.refused, context.valid_loan = asyncio.run(request_loans())
 
 
-@then('nothing was lent and the asker knows that nobody answered')
+@then('nothing was lent and the borrower got no answer')
 def check_refused(context):
-    assert context.refused == 2 * len(ABSURD)
-    assert context.honest.tokens == 5
+    assert context.refused == 2 * len(OUT_OF_RANGE)
+    assert context.valid_loan.tokens == 5
     assert context.lent == [LoanRequest('a', 'w', 5)]
--- a/packages/fleet/src/ibisport_fleet/addresses.py
+++ b/packages/fleet/src/ibisport_fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Where a peer listens."""
+"""Network addresses of routers, targets and stores."""
 
-# IP number and port.
+# IP address and port.
 Address = tuple[str, int]
--- a/packages/fleet/src/ibisport_fleet/borrowing.py
+++ b/packages/fleet/src/ibisport_fleet/borrowing.py
@@ -1,4 +1,4 @@
-"""Borrows the tokens of a request from the routers that lend them."""
+"""Borrows tokens for requests from the routers that lend a budget."""
 
 import asyncio
 
@@ -9,19 +9,19 @@
 from ibisport_fleet.loans import Loan, LoanPeer, LoanRequest
 from ibisport_fleet.membership import Member, Membership
 
-# A lender that needs a write itself answers within 0.6 s while the store is slow.
+# A lender that has to write to a slow store itself answers within 0.6 s.
 LOAN_TIMEOUT_SECONDS = 0.7
-# A lender that didn't answer is left alone for so long.
+# How long a lender that did not answer is skipped.
 LENDER_BACKOFF_SECONDS = 2.0
-# Lenders that one request asks: the second one takes over from the first.
+# A request tries a second lender if the first does not answer.
 MAX_LENDERS_PER_REQUEST = 2
-# Borrowed tokens that no request needed for about so long go back, so that they don't
-# lie at many routers in pieces when a budget comes to its end.
+# Unused borrowed tokens go back after about this time, so that a nearly exhausted
+# budget isn't scattered over many routers.
 REPAY_INTERVAL_SECONDS = 0.5
 
 
 class Borrower:
-    """Borrows for the requests of this router."""
+    """Borrows tokens for the requests of this router, and returns unused ones."""
 
     def __init__(
         self, members: Membership, ledger: Ledger, peers: LoanPeer, log: EventLog
@@ -35,42 +35,41 @@
         self._tasks: set[asyncio.Task[Reservation | Loan | None]] = set()
 
     async def borrow(self, workspace: str, tokens: int) -> Reservation | Loan | None:
-        """Borrow what a request needs.
+        """Borrow the tokens that a request may cost.
 
         Args:
-            workspace: Whose tokens.
-            tokens: How many the request may cost at most.
+            workspace: Name of the workspace that pays.
+            tokens: Maximum cost of the request.
 
         Returns:
-            The tokens, held for the request; a lender's refusal; or None if no
+            A reservation of the tokens; the refusal of a lender; or None if no
             lender answered.
         """
-        work = self._ask_lenders(workspace, tokens)
-        task = asyncio.get_running_loop().create_task(work)
+        request = self._ask_lenders(workspace, tokens)
+        task = asyncio.get_running_loop().create_task(request)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            # The caller left; the loan is on its way and serves the next request.
+            # The caller disconnected. The loan still arrives and serves later requests.
             task.add_done_callback(self._settle_abandoned)
             raise
 
     async def run_repayments(self) -> None:
-        """Give borrowed tokens back that no request needs, for ever."""
+        """Return unused borrowed tokens periodically; never returns."""
         while True:
             await asyncio.sleep(REPAY_INTERVAL_SECONDS)
             for workspace in tuple(self._lenders):
                 await self._repay_workspace(workspace)
 
     async def repay_all(self) -> None:
-        """Give all borrowed tokens back that no request needs.
+        """Return all unused borrowed tokens before the process ends.
 
-        The process ends after it: what its last requests didn't need would count as
-        spent at the lender for ever.
+        Tokens that aren't returned count as spent at the lender permanently.
         """
-        # A loan whose caller left may still be on its way.
-        # Waiting doesn't cancel it, and with it its request, if the time runs out.
+        # A loan whose caller disconnected may still be in flight. asyncio.wait doesn't
+        # cancel these tasks, and so their loan requests, when it is cancelled itself.
         if self._tasks:
             await asyncio.wait(self._tasks)
         await asyncio.gather(*(self._repay_workspace(name) for name in self._lenders))
@@ -78,26 +77,26 @@
     async def _ask_lenders(
         self, workspace: str, tokens: int
     ) -> Reservation | Loan | None:
-        purse = self._ledger.find(workspace)
-        # What is taken now can't be counted on by the next request as well.
-        at_hand = min(purse.borrowed, tokens)
-        purse.borrowed -= at_hand
+        local_budget = self._ledger.find(workspace)
+        # Deducted before the first await, so that no concurrent request uses them too.
+        available = min(local_budget.borrowed, tokens)
+        local_budget.borrowed -= available
         for member in self._list_lenders(workspace):
-            loan = await self._request_loan(member, workspace, tokens - at_hand)
+            loan = await self._request_loan(member, workspace, tokens - available)
             if loan is None:
                 continue
             if loan.tokens:
                 self._set_lender(workspace, member)
                 return Reservation(workspace, tokens, borrowed=True)
             if loan.certain:
-                purse.borrowed += at_hand
+                local_budget.borrowed += available
                 return loan
-        purse.borrowed += at_hand
+        local_budget.borrowed += available
         return None
 
     def _set_lender(self, workspace: str, member: Member) -> None:
         if self._lenders.get(workspace, member) != member:
-            # What is left of the loans of another lender can't go back to this one.
+            # Tokens left from the previous lender's loans can't be repaid to this one.
             self._ledger.find(workspace).borrowed = 0
         self._lenders[workspace] = member
 
@@ -131,8 +130,8 @@
         self._log.write(Event.lender_lost, lender=member.host, reason=reason)
 
     async def _repay_workspace(self, workspace: str) -> None:
-        purse = self._ledger.find(workspace)
-        unused, purse.borrowed = purse.borrowed, 0
+        local_budget = self._ledger.find(workspace)
+        unused, local_budget.borrowed = local_budget.borrowed, 0
         lender = self._lenders[workspace]
         if not unused:
             return
@@ -143,10 +142,10 @@
                 lender.address, request, loop.time() + LOAN_TIMEOUT_SECONDS
             )
         except PeerUnavailable as error:
-            # They count as spent: the lender may or may not have taken them back.
+            # Whether the lender credited them is unknown, so they count as spent.
             self._back_off(lender, str(error))
 
     def _settle_abandoned(self, task: asyncio.Task[Reservation | Loan | None]) -> None:
-        held = None if task.cancelled() or task.exception() else task.result()
-        if isinstance(held, Reservation):
-            self._ledger.settle(held)
+        reservation = None if task.cancelled() or task.exception() else task.result()
+        if isinstance(reservation, Reservation):
+            self._ledger.settle(reservation)
--- a/packages/fleet/src/ibisport_fleet/budget_page.py
+++ b/packages/fleet/src/ibisport_fleet/budget_page.py
@@ -1,12 +1,12 @@
-"""The page of all budgets in the store: which host holds how much of which.
+"""The budget page: the store record of how much each host holds of each budget.
 
-One record holds every workspace's account, so one compare-and-swap keeps
+The page holds the accounts of all workspaces, so one compare-and-swap maintains
 
     closed + sum(share.cap of every host) <= tokens paid for
 
-for each of them: tokens that a router may still spend have left the budget
-before the router knows of them (escrow: O'Neil, ACM TODS 11(4), 1986). Whatever
-happens to a router, its cap bounds what it can have spent.
+for each workspace. Tokens are deducted from the budget before a router may spend
+them (escrow: O'Neil, ACM TODS 11(4), 1986), so a router's cap bounds its spending
+even if the router crashes.
 """
 
 from dataclasses import dataclass, field, replace
@@ -29,12 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """What one host holds of one budget, in tokens since its process began.
+    """One host's part of one budget, in tokens since its process started.
 
     Attributes:
-        used: Spent, and reserved at the most, when the page was written.
-        cap: Bound of ``used`` whatever happens.
-        rate: Tokens a second that callers have lately asked for at this host.
+        used: Tokens spent, plus the maximum cost of running requests, when the page
+            was written.
+        cap: Upper bound of ``used`` in all circumstances.
+        rate: Tokens per second that callers recently requested at this host.
     """
 
     used: int = 0
@@ -48,19 +49,19 @@
 
     Attributes:
         closed: Tokens counted as spent by processes that have ended.
-        shares: What hosts hold, by the host's name.
+        shares: Shares of the running processes, by host name.
     """
 
     closed: int = 0
     shares: dict[str, Share] = field(default_factory=dict)
 
     def find_cap(self, host: str) -> int:
-        """Return the cap of a host's share; 0 without one."""
+        """Return the cap of a host's share, or 0 if it has none."""
         return self.shares.get(host, Share()).cap
 
     @property
     def held(self) -> int:
-        """Tokens that have left the budget."""
+        """Tokens deducted from the budget, spent or not."""
         return self.closed + sum(share.cap for share in self.shares.values())
 
     @property
@@ -71,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """The process of a host that last wrote the page.
+    """The process that last wrote the page on behalf of a host.
 
     Attributes:
-        incarnation: Drawn at the start of the process.
-        sequence: Number of its last write.
+        incarnation: Random identifier of the process.
+        sequence: Sequence number of its last write.
     """
 
     incarnation: str
@@ -84,56 +85,62 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetPage:
-    """All accounts, and the sessions of all hosts."""
+    """The accounts by workspace name, and the sessions by host name."""
 
     accounts: dict[str, Account] = field(default_factory=dict)
     sessions: dict[str, Session] = field(default_factory=dict)
 
     def find(self, workspace: str) -> Account:
-        """Return a workspace's account, empty at first."""
+        """Return a workspace's account, or an empty one."""
         return self.accounts.get(workspace, Account())
 
     def close_session(self, host: str, spent: dict[str, int]) -> 'BudgetPage':
-        """Return the page with a dead process's shares counted as spent.
+        """Return the page with an ended process's shares counted as spent.
 
         Args:
             host: The host whose process has ended.
-            spent: Bounds of what it spent, by workspace, where they are known
-                to be lower than its caps.
+            spent: Bounds of its spending by workspace name, where they are known to
+                be lower than its caps.
         """
         accounts = {}
         for name, account in self.accounts.items():
             share = account.shares.get(host)
             if share is not None:
-                lost = min(share.cap, spent.get(name, share.cap))
+                counted = min(share.cap, spent.get(name, share.cap))
                 others = {
-                    one: held for one, held in account.shares.items() if one != host
+                    other_host: other_share
+                    for other_host, other_share in account.shares.items()
+                    if other_host != host
                 }
-                account = Account(account.closed + lost, others)
+                account = Account(account.closed + counted, others)
             accounts[name] = account
-        sessions = {one: held for one, held in self.sessions.items() if one != host}
+        sessions = {
+            other_host: other_session
+            for other_host, other_session in self.sessions.items()
+            if other_host != host
+        }
         return BudgetPage(accounts, sessions)
 
     def with_shares(
         self, host: str, session: Session, shares: dict[str, Share]
     ) -> 'BudgetPage':
-        """Return the page with shares of a host replaced; empty ones are left out."""
+        """Return the page with a host's shares replaced; omits shares without a cap."""
         accounts = dict(self.accounts)
         for name, share in shares.items():
             account = self.find(name)
             shares = {**account.shares, host: share}
             if not share.cap:
-                # Each write carries the page, and a conflict brings it back: with the
-                # empty shares of 30 hosts in 24 budgets it had 20 KB, a write took
-                # 80 ms on a narrow link, 11 ms without the page, and 4 of 5 met a
-                # conflict.
+                # Every write sends the page, and every conflict returns it. With the
+                # empty shares of 30 hosts in 24 budgets the page was 20 KB: on a
+                # low-bandwidth link a write took 80 ms, compared to 11 ms without the
+                # page, and 4 of 5 writes conflicted.
                 shares.pop(host)
             accounts[name] = replace(account, shares=shares)
         return BudgetPage(accounts, {**self.sessions, host: session})
 
 
 def encode_page(page: BudgetPage) -> bytes:
-    """Return the page as it stands in the store."""
+    """Encode a page for the store."""
     return msgspec.json.encode(
         {
             'accounts': {
@@ -149,10 +156,10 @@
 
 
 def decode_page(content: bytes) -> BudgetPage:
-    """Return the page that stands in the store.
+    """Decode a page from the store.
 
     Raises:
-        RecordInvalid: The content is no page.
+        RecordInvalid: The content is not a valid budget page.
     """
     try:
         document = msgspec.json.decode(content)
--- a/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
+++ b/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
@@ -1,15 +1,16 @@
-"""Keeps a host's caps and its record in step with the store.
-
-Lenders hold what others borrow; a host that lends nothing holds no more than its
-requests need while no lender can be reached, and writes nothing otherwise.
-
-A host holds caps in the budget page, which all hosts share, and lower contact
-caps in its own record. It keeps to the contact caps while its proof of contact
-lives: a key under a lease that is never renewed but replaced by a new one. It
-goes up to its caps only when the newest lease has surely run out. So a process
-that starts after a crash and still finds the proof of the one before knows that
-no more than the contact caps can have been spent; without it the caps count as
-spent.
+"""Synchronizes a host's caps and its host record with the store.
+
+Lenders hold the tokens that other routers borrow. A host that doesn't lend holds
+only the tokens that its requests need while no lender is reachable, and otherwise
+writes nothing.
+
+A host has caps in the budget page, which all hosts share, and lower contact caps in
+its own record. It respects the contact caps while its contact proof is valid. The
+proof is a key under a lease that is never renewed but replaced by a new one. The host
+spends up to its caps only after the newest lease has certainly expired. A process
+that starts after a crash and still finds the proof of its predecessor therefore knows
+that no more than the contact caps can have been spent. Without the proof, the caps
+count as spent.
 """
 
 import asyncio
@@ -56,31 +57,32 @@
 
 PAGE_KEY = 'ibisport/budgets'
 PROOF_PREFIX = 'ibisport/contact/'
-# Shares are balanced about so often. The page is not read for it: a write that finds
-# another revision brings it, and lenders are hardly ever disturbed.
+# Average time between rebalances of the shares. A rebalance doesn't read the page: a
+# conflicting write returns the current one, and lenders' writes rarely conflict.
 REBALANCE_INTERVAL_SECONDS = 1.5
 MAX_WRITE_ATTEMPTS = 8
-# A page that is no older says what a draw would find: under a flood that exceeds its
-# budget, a write for each refusal kept other hosts' writes from succeeding.
+# Requests are refused from a page of at most this age, without a write. Under load that
+# exceeds a budget, one write per refusal kept other hosts' writes from succeeding.
 MAX_PAGE_AGE_SECONDS = 0.25
-# The store grows slow from one call to the next, so half of the newest counts.
+# The moving average follows quickly because the store can slow down between two calls.
 LATENCY_WEIGHT = 0.5
-# Spreads writers that collided, by about the time of a write.
+# Spreads conflicting writers over about the duration of a write.
 CONFLICT_BACKOFF_SECONDS = 0.004
-# With more writers the pause doubles, up to this one.
+# The backoff doubles with each conflict, up to this bound.
 MAX_CONFLICT_BACKOFF_SECONDS = 0.032
-# Whoever doesn't lend lets lenders go first, by so many times as long a pause. Where a
-# lender has died all others draw for themselves, and the next one hardly gets a write.
+# Hosts that don't lend back off longer, by this factor, so that lenders write first.
+# When a lender dies, all other hosts draw tokens themselves, and without this the next
+# lender's writes hardly ever succeed.
 BORROWER_BACKOFF_FACTOR = 8
 
 
 @dataclass(frozen=True, slots=True)
 class _Proof:
-    """A lease for the proof of contact.
+    """A lease for the contact proof.
 
     Attributes:
-        lease: Its id.
-        lapses_at: Boot-clock time by which it has surely run out.
+        lease: Identifier of the lease.
+        expires_at: Boot-clock time by which the lease has certainly expired.
     """
 
     lease: int
@@ -89,14 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _PlannedWrite:
-    """A write that may be tried.
+    """The content and the conditions of one write attempt.
 
     Attributes:
         record: This host's record.
-        page: The shared page, or None to leave it alone.
+        page: The budget page, or None to leave it unchanged.
         caps: The caps that the page gives to this host.
-        proof: The proof to be written, or None.
-        conditions: Revisions that must hold besides those of page and record.
+        proof: The contact proof to write, or None.
+        conditions: Required revisions besides those of the page and the record.
     """
 
     record: HostRecord
@@ -107,14 +109,16 @@
 
 
 class BudgetSynchronizer:
-    """One process's part of the budgets in the store.
+    """Maintains this process's shares, host record and contact proof in the store.
 
     Attributes:
-        ledger: What the process has spent, and its bounds as they surely stand.
-        opened: The process before this one is accounted for.
-        lapses_at: Boot-clock time by which every proof of contact has run out.
-        page_at: Boot-clock time at which the page was last seen.
-        has_lenders: It is known who lends; writes give way to theirs.
+        ledger: What the process has spent, and the bounds known to be stored.
+        is_open: Whether the predecessor's spending is settled and the session of this
+            process is open.
+        proofs_expire_at: Boot-clock time by which all contact proofs have expired.
+        page_seen_at: Boot-clock time at which the page was last read or written.
+        knows_lenders: Whether the lenders are known. If so, a host that doesn't lend
+            backs off longer, so that their writes come first.
     """
 
     def __init__(
@@ -126,15 +130,15 @@
         member: Member,
         lends: Callable[[str], bool],
     ) -> None:
-        """Begin with nothing.
+        """Initialize without a session, shares or a proof.
 
         Args:
-            store: Where budgets are kept.
-            catalogue: Which budgets there are.
-            log: Where decisions are written.
+            store: The store that holds the budget page and the host records.
+            catalogue: The catalogue that defines the budgets.
+            log: The event log.
             clocks: The host's clocks.
             member: This router.
-            lends: Whether this router lends a workspace's tokens.
+            lends: Returns whether this router lends a workspace's tokens.
         """
         self.ledger = Ledger()
         self.is_open = False
@@ -158,34 +162,34 @@
         self._proof: _Proof | None = None
         self._is_proof_stored = False
         self._write_latency = 0.0
-        # A write has no answer yet: the next one shows whether it was done.
+        # A write was not answered; the next one shows whether it was applied.
         self._is_outcome_unknown = False
 
     @property
     def needs_proof(self) -> bool:
-        """Whether the host lends, and so holds more than its requests need."""
+        """Whether this host lends, and so holds more than its requests need."""
         return any(self._lends(name) for name, _ in self._list_budgets())
 
     @property
     def is_isolated(self) -> bool:
-        """Whether the caps bound the process, and not its contact caps."""
+        """Whether the caps bound the process instead of its contact caps."""
         return self.is_open and self._clocks.boot() > self.proofs_expire_at
 
     def find_account(self, workspace: str) -> Account:
-        """Return a workspace's account as it was last seen."""
+        """Return a workspace's account in the last known page."""
         return self._page.find(workspace)
 
     async def renew_proof(self) -> None:
-        """Get a lease for the next proof; the next write puts it in place."""
+        """Acquire a lease for a new contact proof, which the next write stores."""
         lease, seconds = await self._store.grant_lease(PROOF_LEASE_SECONDS)
         self._proof = _Proof(lease, self._clocks.boot() + seconds)
         self._is_proof_stored = False
 
     async def synchronize(self) -> None:
-        """Bring the store in step with the ledger."""
+        """Write the state of the ledger to the store."""
         if not self.is_open and self._page_revision is None:
             self._apply_page(await self._store.read(PAGE_KEY))
-        # Nothing is drawn before the process before this one is accounted for.
+        # No tokens are drawn before the predecessor's spending is settled.
         if not self.is_open and (
             self._predecessor_may_hold_tokens() or self._has_work()
         ):
@@ -202,7 +206,7 @@
             )
 
     def _has_work(self) -> bool:
-        """Whether the host lends, holds more than it has spent, or needs tokens."""
+        """Return whether the host lends, has unspent tokens, or needs tokens."""
         if self._is_outcome_unknown:
             return True
         return any(
@@ -213,56 +217,65 @@
         )
 
     async def close(self) -> None:
-        """Say what was spent in the end; the process serves no more."""
-        spent = {name: purse.used for name, purse in self.ledger.local_budgets.items()}
+        """Write the final spending; the process serves no more requests."""
+        spent = {
+            name: local_budget.used
+            for name, local_budget in self.ledger.local_budgets.items()
+        }
         self.ledger.apply_confirmed(spent, spent)
         record = HostRecord(
             self._incarnation, self._advance_sequence(), final=True, caps=spent
         )
-        done = False
-        while not done:
-            done = await self._try_write(_PlannedWrite(record))
+        is_written = False
+        while not is_written:
+            is_written = await self._try_write(_PlannedWrite(record))
 
     @property
     def is_predecessor_settled(self) -> bool:
-        """Whether the process before this one holds nothing any more."""
-        known = self._page_revision is not None
-        return self.is_open or (known and not self._predecessor_may_hold_tokens())
+        """Whether the predecessor is known to hold no unspent tokens."""
+        is_page_known = self._page_revision is not None
+        return self.is_open or (
+            is_page_known and not self._predecessor_may_hold_tokens()
+        )
 
     def _predecessor_may_hold_tokens(self) -> bool:
-        """Whether the process before this one may have left tokens unspent.
+        """Return whether the predecessor may have left unspent tokens.
 
-        What it has spent to the last token can be closed with the first write that
-        is made anyway: routers that start at once and all write the page keep the
-        lenders among them from opening.
+        Fully spent shares can be closed by the first write that is needed anyway: if
+        all routers that start at once wrote the page, they would keep the lenders
+        among them from opening their sessions.
         """
-        shares = [one.shares.get(self._host) for one in self._page.accounts.values()]
+        shares = [
+            account.shares.get(self._host) for account in self._page.accounts.values()
+        ]
         return any(share.cap > share.used for share in shares if share is not None)
 
     async def _open_session(self) -> None:
-        """End the session that this host's process had before."""
-        before = self._page.sessions.get(self._host)
-        remains = await self._read_predecessor_state(before)
-        after = Successor(self._clocks.boot_id, self._started_at, self._clocks.wall())
-        spent = bound_spent(before, remains, after, self._log)
-        # Nothing is held without a session. A first write of a process that died
-        # before its answer came may still be done: it spent nothing of it.
-        self.is_open = before is None
+        """Close the predecessor's session and open one for this process."""
+        predecessor = self._page.sessions.get(self._host)
+        state = await self._read_predecessor_state(predecessor)
+        successor = Successor(
+            self._clocks.boot_id, self._started_at, self._clocks.wall()
+        )
+        spent = bound_spent(predecessor, state, successor, self._log)
+        # Without a session nothing is held. The first write of a process that died
+        # before the answer may still be applied, but its tokens were never spent.
+        self.is_open = predecessor is None
         while not self.is_open:
-            # Only the page changes at every try, and a conflict brings it: with two
-            # more reads between them a busy lender's writes would come first each time.
-            plan = self._plan_opening(spent, remains.proof)
+            # Only the page changes between attempts, and a conflict returns it. Two
+            # more reads per attempt would let a busy lender's writes win every time.
+            plan = self._plan_opening(spent, state.proof)
             self.is_open = await self._try_write(plan)
-            changed = self._record_revision != remains.record_revision
-            # A proof that the write relies on may have run out meanwhile.
-            if not self.is_open and (changed or plan.conditions):
-                remains = await self._read_predecessor_state(before)
-                after = replace(after, wall=self._clocks.wall())
-                spent = bound_spent(before, remains, after, self._log)
+            is_record_changed = self._record_revision != state.record_revision
+            # A proof that the write depends on may have expired in the meantime.
+            if not self.is_open and (is_record_changed or plan.conditions):
+                state = await self._read_predecessor_state(predecessor)
+                successor = replace(successor, wall=self._clocks.wall())
+                spent = bound_spent(predecessor, state, successor, self._log)
         self._log.write(
             Event.budget_opened,
             revision=self._page_revision,
-            before=None if before is None else before.incarnation,
+            before=None if predecessor is None else predecessor.incarnation,
             bounded=bool(spent),
         )
 
@@ -278,11 +291,13 @@
             conditions=conditions,
         )
 
-    async def _read_predecessor_state(self, before: Session | None) -> PredecessorState:
-        """Read what the process before left besides its shares."""
+    async def _read_predecessor_state(
+        self, predecessor: Session | None
+    ) -> PredecessorState:
+        """Read what the predecessor left in the store besides its shares."""
         record = await self._store.read(build_record_key(self._host))
         self._record_revision = 0 if record is None else record.revision
-        if before is None:
+        if predecessor is None:
             return PredecessorState(record, None)
         return PredecessorState(
             record, await self._store.read(PROOF_PREFIX + self._host)
@@ -319,16 +334,16 @@
     def _is_page_write_due(
         self, shares: dict[str, Share], demands: dict[str, Demand], now: float
     ) -> bool:
-        """Whether this write changes the shared page as well.
+        """Return whether the next write includes the budget page.
 
-        What callers wait for comes first: if the host's own caps cover it, the
-        page waits, and with it the conflicts that its writes may meet.
+        Tokens that requests wait for take precedence: if the host's caps cover them,
+        the page write, which may conflict, is postponed.
         """
-        purses = self.ledger.local_budgets
+        local_budgets = self.ledger.local_budgets
         short = [
             name
             for name, demand in demands.items()
-            if demand.wanted > purses[name].cap - demand.used
+            if demand.wanted > local_budgets[name].cap - demand.used
         ]
         if any(
             shares[name].cap > self._page.find(name).find_cap(self._host)
@@ -336,17 +351,19 @@
         ):
             return True
         if short and now - self.page_seen_at > MAX_PAGE_AGE_SECONDS:
-            # Nothing is left as far as is known; others may have given something back.
+            # The known page has no tokens left, but other hosts may have returned some.
             return True
         if any(
-            is_running_low(purses[name].cap, shares[name], demand)
+            is_running_low(local_budgets[name].cap, shares[name], demand)
             for name, demand in demands.items()
         ):
             return True
-        if now < self._rebalance_at or any(one.wanted for one in demands.values()):
+        if now < self._rebalance_at or any(
+            workspace_demand.wanted for workspace_demand in demands.values()
+        ):
             return False
-        # What the page says counts here: after a conflict the host's own bound may
-        # be lower already, and what lies between them would be held for ever.
+        # Compares with the cap in the page: after a conflict the local bound may be
+        # lower already, and the difference would be held indefinitely.
         return any(
             needs_rebalance(
                 self._page.find(name).find_cap(self._host), share, demands[name]
@@ -365,7 +382,7 @@
             name: plan_contact_cap(cap, demands[name], self._write_latency)
             for name, cap in caps.items()
         }
-        # A proof that goes with the write binds the process before it is answered.
+        # A proof in the same write binds the process even before the write is answered.
         proof_until = 0.0 if proof is None else proof.expires_at
         return HostRecord(
             self._incarnation,
@@ -377,18 +394,18 @@
         )
 
     async def _try_write(self, plan: _PlannedWrite) -> bool:
-        """Try a write; False on a conflict, after which the page is up to date."""
-        # Until the answer is here both the old caps and the new may stand.
+        """Attempt a write; return False on a conflict, after updating the page."""
+        # Until the answer arrives, the store may hold the old caps or the new ones.
         self.ledger.apply_unconfirmed(plan.record.caps, plan.caps, self.is_isolated)
         if plan.proof is not None:
             self.proofs_expire_at = max(self.proofs_expire_at, plan.proof.expires_at)
         self._is_outcome_unknown = True
-        begun = self._clocks.boot()
+        started_at = self._clocks.boot()
         outcome = await self._store.write(
             self._list_conditions(plan), self._list_puts(plan)
         )
-        passed = self._clocks.boot() - begun
-        self._write_latency += LATENCY_WEIGHT * (passed - self._write_latency)
+        latency = self._clocks.boot() - started_at
+        self._write_latency += LATENCY_WEIGHT * (latency - self._write_latency)
         self._is_outcome_unknown = False
         if isinstance(outcome, Conflict):
             return await self._resolve_conflict(plan, outcome)
@@ -401,16 +418,16 @@
         return True
 
     async def _resolve_conflict(self, plan: _PlannedWrite, conflict: Conflict) -> bool:
-        """Find out whose write came before ours; True if it was ours itself."""
+        """Apply the state after a conflict; return whether the plan is stored."""
         key = build_record_key(self._host)
         item = await _find_current(self._store, conflict, key)
         record = None if item is None else decode_record(item.content)
         self._record_revision = 0 if item is None else item.revision
-        done = record is not None and record == plan.record
+        is_stored = record is not None and record == plan.record
         if plan.page is not None:
             self._apply_page(await _find_current(self._store, conflict, PAGE_KEY))
-        if done:
-            # An earlier try of this write was done though not answered.
+        if is_stored:
+            # An earlier attempt of this write was applied but not answered.
             self._confirm(plan)
             return True
         if self.is_open:
@@ -418,20 +435,20 @@
         return False
 
     async def _back_off_after_conflict(self) -> None:
-        """Let others go first, but not while the process is opening.
+        """Wait for a random time so that other writers can succeed.
 
-        An opening that comes after the former process's proof has run out strands
-        its whole reserve.
+        Not used while a session opens: if the predecessor's contact proof expires
+        first, its whole reserve is stranded.
         """
-        yields = self.knows_lenders and not self.needs_proof
-        patience = BORROWER_BACKOFF_FACTOR if yields else 1
-        await asyncio.sleep(random.random() * patience * self._conflict_backoff)
+        yields_to_lenders = self.knows_lenders and not self.needs_proof
+        factor = BORROWER_BACKOFF_FACTOR if yields_to_lenders else 1
+        await asyncio.sleep(random.random() * factor * self._conflict_backoff)
         self._conflict_backoff = min(
             2 * self._conflict_backoff, MAX_CONFLICT_BACKOFF_SECONDS
         )
 
     def _confirm(self, plan: _PlannedWrite) -> None:
-        """Take a write that surely stands in the store."""
+        """Apply a write that is known to be stored."""
         self._conflict_backoff = CONFLICT_BACKOFF_SECONDS
         self.ledger.apply_confirmed(plan.record.caps, plan.caps)
         if plan.proof is self._proof:
@@ -470,7 +487,7 @@
 
 
 async def _find_current(store: Store, conflict: Conflict, key: str) -> Item | None:
-    """Return a key as it is now; the store is asked only if it didn't tell."""
+    """Return a key's current item; reads the store only if the conflict lacks it."""
     if key in conflict.absent:
         return None
     return conflict.find(key) or await store.read(key)
--- a/packages/fleet/src/ibisport_fleet/budgets.py
+++ b/packages/fleet/src/ibisport_fleet/budgets.py
@@ -1,7 +1,7 @@
-"""What workspaces may spend at this router, as its callers see it.
+"""Reserves and settles the tokens of requests at this router.
 
-A request's tokens are borrowed from the router that lends the workspace's tokens.
-Only if no lender answers are they drawn from the store itself.
+A request's tokens are borrowed from a router that lends the workspace's tokens. They
+are drawn from the store only if no lender answers.
 """
 
 import asyncio
@@ -26,42 +26,41 @@
 
 PROOF_RENEWAL_INTERVAL_SECONDS = 0.7
 WRITE_INTERVAL_SECONDS = 0.75
-# Requests that need a write within so long share one: each write is a call for all
-# budgets of the host, and writes of the shared page keep each other out.
+# Requests that need a write within this time share one: a write covers all budgets of
+# the host, and concurrent writes of the shared page conflict.
 MIN_WRITE_INTERVAL_SECONDS = 0.06
 RETRY_BACKOFF_SECONDS = 0.2
-# Longest time that a request waits for tokens: a write of a slow store, and conflicts
-# before it.
+# Maximum time that a request waits for tokens. Covers a write of a slow store after
+# conflicts.
 DRAW_TIMEOUT_SECONDS = 0.6
-# The same while calls fail: sooner with another router than waiting here.
+# The same while store calls fail, when another router serves a request sooner.
 FAILING_DRAW_TIMEOUT_SECONDS = 0.1
-# A router that is asked for a loan holds a reserve for so long, whatever its own list
-# says: borrowers ask by theirs, and the two differ by a period of the list. Without it
-# each such loan would be a write of the page. Borrowers leave a lender alone for as
-# long.
+# A router that receives a loan request holds a lender's reserve for this time even if
+# its own member list ranks another router first: the borrower's list may be one refresh
+# interval ahead or behind. Without the reserve, each such loan would write the page.
+# Borrowers skip an unresponsive lender for the same time.
 LENDER_RETENTION_SECONDS = 2.0
-# Another router may have tokens left of the same budget, and a retry reaches
-# another one.
+# A retry is likely to reach another router, which may have tokens left of the budget.
 SHORTAGE_RETRY_SECONDS = 0.15
 
 
 class TokensUnavailable(Exception):
-    """A budget doesn't cover a request.
+    """No tokens are available for a request.
 
     Attributes:
-        pause: Seconds after which tokens may be at hand again; None: the budget
-            itself is spent.
-        known: What was known of the budget, for the log.
+        retry_after: Seconds after which tokens may be available, or None if the
+            budget is spent.
+        details: State of the budget for the event log.
     """
 
-    def __init__(self, pause: float | None, **known: float) -> None:
+    def __init__(self, retry_after: float | None, **details: float) -> None:
         super().__init__('budget')
-        self.retry_after = pause
-        self.details = known
+        self.retry_after = retry_after
+        self.details = details
 
 
 class Budgets:
-    """Reserves tokens before a request runs and settles them after it."""
+    """Reserves tokens before a request runs and settles the cost afterwards."""
 
     def __init__(
         self,
@@ -91,22 +90,24 @@
 
     @property
     def router_count(self) -> int:
-        """How many routers draw on the budgets, this one counted."""
+        """Number of routers that share the budgets, including this one."""
         return self._members.count
 
     def find_used(self, workspace: str) -> int:
-        """Return what counts as spent or reserved at this router, in tokens."""
+        """Return the tokens spent or reserved at this router."""
         return self._ledger.find(workspace).used
 
     def list_lenders(self, workspace: str) -> list[str]:
-        """Return the hosts that lend a workspace's tokens, the first one first."""
+        """Return the hosts that lend a workspace's tokens, most preferred first."""
         return rank_lenders(self._members.current, workspace)
 
     def leave(self, shutdown: Shutdown) -> None:
-        """Leave the list of lenders, and then lend nothing more; the rest goes back.
+        """Schedule leaving the list of lenders and, later, the end of lending.
+
+        Unspent tokens go back to the budget after that.
 
         Args:
-            shutdown: When.
+            shutdown: The times of the shutdown.
         """
         self._shutdown = shutdown
         loop = asyncio.get_running_loop()
@@ -114,10 +115,10 @@
         loop.call_at(shutdown.lends_until, self._write_requested.set)
 
     async def lend(self, request: LoanRequest) -> Loan:
-        """Lend tokens to another router, which counts as spending them.
+        """Lend tokens to another router; they count as spent here.
 
         Args:
-            request: What the other router needs.
+            request: The other router's request, which may also repay tokens.
         """
         workspace = self._find_workspace(request.workspace)
         if workspace is None or request.lender != self._members.own.incarnation:
@@ -133,66 +134,70 @@
             self._clocks.boot() + LENDER_RETENTION_SECONDS
         )
         try:
-            held = await self._reserve_local(workspace, request.tokens)
-        except TokensUnavailable as short:
-            used = int(short.details.get('used', 0))
+            reservation = await self._reserve_local(workspace, request.tokens)
+        except TokensUnavailable as error:
+            used = int(error.details.get('used', 0))
             return Loan(0, used, certain=not self._store_failing)
-        held.spent = held.tokens
-        self._ledger.settle(held)
+        reservation.spent = reservation.tokens
+        self._ledger.settle(reservation)
         return Loan(request.tokens, 0, certain=True)
 
     async def reserve(self, workspace: Workspace | None, tokens: int) -> Reservation:
-        """Hold tokens for a request.
+        """Reserve tokens for a request.
 
         Args:
-            workspace: Who pays, or None.
-            tokens: The most that the request may cost.
+            workspace: The workspace that pays, or None if the request is free.
+            tokens: Maximum cost of the request.
 
         Raises:
-            Short: The budget doesn't cover it, or can't be asked now.
+            TokensUnavailable: The budget doesn't cover the request, or tokens can't be
+                obtained in time.
         """
         if workspace is None or workspace.budget is None or not tokens:
             return Reservation(None, tokens)
         if self._lends(workspace.name):
             return await self._reserve_local(workspace, tokens)
-        held = self._ledger.reserve_borrowed(workspace.name, tokens)
-        if held is not None:
-            return held
-        answer = await self._borrower.borrow(workspace.name, tokens)
-        if isinstance(answer, Reservation):
-            return answer
-        if answer is not None and answer.certain:
-            spent = answer.used + tokens > (workspace.budget or 0)
-            pause = None if spent else draw_jittered_delay(SHORTAGE_RETRY_SECONDS)
+        reservation = self._ledger.reserve_borrowed(workspace.name, tokens)
+        if reservation is not None:
+            return reservation
+        loan = await self._borrower.borrow(workspace.name, tokens)
+        if isinstance(loan, Reservation):
+            return loan
+        if loan is not None and loan.certain:
+            is_spent = loan.used + tokens > (workspace.budget or 0)
+            retry_after = (
+                None if is_spent else draw_jittered_delay(SHORTAGE_RETRY_SECONDS)
+            )
             raise TokensUnavailable(
-                pause, budget=workspace.budget or 0, used=answer.used
+                retry_after, budget=workspace.budget or 0, used=loan.used
             )
         return await self._reserve_local(workspace, tokens)
 
     async def run_repayments(self) -> None:
-        """Give borrowed tokens back that no request needs, for ever."""
+        """Return unused borrowed tokens periodically; never returns."""
         await self._borrower.run_repayments()
 
     async def _reserve_local(self, workspace: Workspace, tokens: int) -> Reservation:
-        """Hold tokens that the store counts as this host's."""
+        """Reserve tokens from this host's own share, or draw more from the store."""
         now = self._clocks.boot()
-        purse = self._ledger.find(workspace.name)
-        purse.add_demand(tokens, now)
+        local_budget = self._ledger.find(workspace.name)
+        local_budget.add_demand(tokens, now)
         isolated = self._synchronizer.is_isolated
-        # What others wait for isn't taken before them: on a busy budget newcomers used
-        # up what a write had brought, and those who had waited were refused.
-        if purse.fits(tokens + purse.wanted, isolated):
+        # Tokens that earlier requests wait for stay available to them. Otherwise, on a
+        # busy budget, new requests used the tokens of each write, and the requests that
+        # had waited were refused.
+        if local_budget.fits(tokens + local_budget.wanted, isolated):
             return self._ledger.hold(workspace.name, tokens)
         return await self._draw(workspace, tokens)
 
     def settle(self, reservation: Reservation) -> None:
-        """Count what a request has cost and give the rest back."""
+        """Record the final cost of a request and release the rest."""
         self._ledger.settle(reservation)
 
     async def run_proof_renewals(self) -> None:
-        """Get a new lease for the proof of contact from time to time, for ever.
+        """Acquire a lease for a new contact proof periodically; never returns.
 
-        It is a task of its own so that no draw waits for it.
+        Runs as a separate task so that no draw waits for it.
         """
         while True:
             if not self._synchronizer.needs_proof:
@@ -208,10 +213,10 @@
             await asyncio.sleep(PROOF_RENEWAL_INTERVAL_SECONDS)
 
     async def run(self) -> None:
-        """Keep the store in step with the ledger for ever."""
+        """Synchronize the ledger with the store continuously; never returns."""
         loop = asyncio.get_running_loop()
         while True:
-            begun = loop.time()
+            started_at = loop.time()
             self._synchronizer.knows_lenders = self._members.listed
             try:
                 await self._synchronizer.synchronize()
@@ -222,22 +227,22 @@
             self._members.may_lend = (
                 self._synchronizer.is_predecessor_settled and self._shutdown is None
             )
-            drawn, self._write_done = self._write_done, asyncio.Event()
-            drawn.set()
+            completed, self._write_done = self._write_done, asyncio.Event()
+            completed.set()
             self._store_failing = False
             await self._wait_for_write_request()
-            await asyncio.sleep(begun + MIN_WRITE_INTERVAL_SECONDS - loop.time())
+            await asyncio.sleep(started_at + MIN_WRITE_INTERVAL_SECONDS - loop.time())
 
     async def close(self) -> None:
-        """Say what was spent in the end, and give back what was borrowed.
+        """Write the final spending to the store and return borrowed tokens to lenders.
 
-        One doesn't wait for the other: either may find nobody who answers.
+        Both run concurrently, because neither the store nor a lender may answer.
         """
         self._closing = True
         await asyncio.gather(self._borrower.repay_all(), self._close_session())
 
     async def _close_session(self) -> None:
-        """Say what was spent in the end, however often it takes."""
+        """Write the final spending; retries until the store accepts it."""
         while self._synchronizer.is_open:
             try:
                 return await self._synchronizer.close()
@@ -246,42 +251,44 @@
                 await asyncio.sleep(RETRY_BACKOFF_SECONDS)
 
     async def _draw(self, workspace: Workspace, tokens: int) -> Reservation:
-        # Once the account is written nothing brings tokens any more.
+        # No tokens can be drawn once the final spending is written.
         if self._closing or self._is_exhausted(workspace, tokens):
             raise self._build_refusal(workspace, tokens)
-        purse = self._ledger.find(workspace.name)
-        purse.wanted += tokens
-        wait = (
+        local_budget = self._ledger.find(workspace.name)
+        local_budget.wanted += tokens
+        timeout = (
             FAILING_DRAW_TIMEOUT_SECONDS
             if self._store_failing
             else DRAW_TIMEOUT_SECONDS
         )
-        until = asyncio.get_running_loop().time() + wait
+        deadline = asyncio.get_running_loop().time() + timeout
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 return await self._wait_for_tokens(workspace, tokens)
         except TimeoutError:
             raise TokensUnavailable(
-                self._estimate_retry_after(), own_used=purse.used, own_cap=purse.cap
+                self._estimate_retry_after(),
+                own_used=local_budget.used,
+                own_cap=local_budget.cap,
             ) from None
         finally:
-            purse.wanted -= tokens
+            local_budget.wanted -= tokens
 
     async def _wait_for_tokens(self, workspace: Workspace, tokens: int) -> Reservation:
-        # The first write that ends may have begun before this request came.
+        # The write in progress may have started before this request arrived.
         for _ in range(2):
-            drawn = self._write_done
+            write_done = self._write_done
             self._write_requested.set()
-            await drawn.wait()
+            await write_done.wait()
             isolated = self._synchronizer.is_isolated
-            held = self._ledger.reserve(workspace.name, tokens, isolated)
-            if held is not None:
-                return held
+            reservation = self._ledger.reserve(workspace.name, tokens, isolated)
+            if reservation is not None:
+                return reservation
         raise self._build_refusal(workspace, tokens)
 
     @property
     def _has_stopped_lending(self) -> bool:
-        """Whether the router leaves and lends nothing any more."""
+        """Whether the router is shutting down and no longer lends."""
         if self._shutdown is None:
             return False
         return asyncio.get_running_loop().time() >= self._shutdown.lends_until
@@ -298,35 +305,35 @@
         return None if current is None else current.workspaces.get(name)
 
     def _estimate_retry_after(self) -> float:
-        """Return how long a caller should wait while the store can't be reached.
+        """Return the seconds to wait before a retry while the store is unreachable.
 
-        Once the proof of contact has run out the caps hold.
+        After the contact proofs expire, the higher caps apply.
         """
-        left = max(0.0, self._synchronizer.proofs_expire_at - self._clocks.boot())
-        return left + draw_jittered_delay(SHORTAGE_RETRY_SECONDS)
+        remaining = max(0.0, self._synchronizer.proofs_expire_at - self._clocks.boot())
+        return remaining + draw_jittered_delay(SHORTAGE_RETRY_SECONDS)
 
     def _is_exhausted(self, workspace: Workspace, tokens: int) -> bool:
-        """Whether a draw just now can't bring the tokens either."""
+        """Return whether a recent page shows that a draw can't provide the tokens."""
         if self._clocks.boot() - self._synchronizer.page_seen_at > MAX_PAGE_AGE_SECONDS:
             return False
         account = self._synchronizer.find_account(workspace.name)
-        room = compute_max_cap(account, workspace.budget or 0, self._host)
-        return self._ledger.find(workspace.name).used + tokens > room
+        max_cap = compute_max_cap(account, workspace.budget or 0, self._host)
+        return self._ledger.find(workspace.name).used + tokens > max_cap
 
     def _build_refusal(self, workspace: Workspace, tokens: int) -> TokensUnavailable:
         account = self._synchronizer.find_account(workspace.name)
         own = account.shares.get(self._host, Share())
-        purse = self._ledger.find(workspace.name)
+        local_budget = self._ledger.find(workspace.name)
         budget = workspace.budget or 0
-        used = account.used - own.used + purse.used
-        short = used + tokens > budget
+        used = account.used - own.used + local_budget.used
+        is_spent = used + tokens > budget
         return TokensUnavailable(
-            None if short else draw_jittered_delay(SHORTAGE_RETRY_SECONDS),
+            None if is_spent else draw_jittered_delay(SHORTAGE_RETRY_SECONDS),
             budget=budget,
             used=used,
             held=account.held,
-            own_used=purse.used,
-            own_cap=purse.cap,
+            own_used=local_budget.used,
+            own_cap=local_budget.cap,
             page_age=round(self._clocks.boot() - self._synchronizer.page_seen_at, 3),
             isolated=self._synchronizer.is_isolated,
         )
--- a/packages/fleet/src/ibisport_fleet/cap_planning.py
+++ b/packages/fleet/src/ibisport_fleet/cap_planning.py
@@ -1,41 +1,45 @@
-"""How much of a budget a host holds: decisions over a page, without a network."""
+"""Plans how many tokens of a budget a host holds, from the budget page alone.
+
+The functions do no input or output.
+"""
 
 from dataclasses import dataclass
 
 from ibisport_fleet.budget_page import Account, Share
 
-# What a host may spend without asking while it is in contact covers half a second and
-# this many writes; more would be lost in a crash. Two writes may pass before what a
-# request needs is written, and as many again before a conflict is settled.
+# A contact cap covers the demand of half a second plus four writes: a request may wait
+# for two writes until its tokens are stored, and for two more to resolve a conflict.
+# A higher contact cap would strand more tokens in a crash.
 CONTACT_RESERVE_SECONDS = 0.5
 CONTACT_RESERVE_WRITES = 4
-# And at most this part of what the host holds.
+# Upper bound of the contact reserve, as a fraction of the unspent part of the cap.
 MAX_CONTACT_FRACTION = 0.3
-# While the store can't be reached a lender lives on its cap. A longer reserve would
-# bridge longer outages, and a lender that dies in one strands what is left of it.
+# Demand that a lender's cap covers while the store is unreachable. A larger reserve
+# bridges longer outages, but a lender that dies in an outage strands what is left.
 ISOLATED_RESERVE_SECONDS = 6.0
-# And at most this share of the unspent rest: a lender that dies in an outage strands
-# what is left of it.
+# Upper bound of that reserve, as a fraction of the unspent budget, because a lender
+# that dies in an outage strands what is left.
 MAX_ISOLATED_FRACTION = 0.35
-# A lender that saw no demand yet is taken for one that sees this share of the rest
-# a second, so that it can answer the first requests in a partition.
+# Demand that a lender assumes before it has observed any, as a fraction of the unspent
+# budget, so that it can serve the first requests during a partition.
 PRIOR_RATE_FRACTION_PER_SECOND = 0.002
-# Below so much demand a lender's share is raised at once, and not only when it is
-# balanced: under a flood every write is one that requests wait for.
+# A lender whose reserve covers less demand than this raises its share at once instead
+# of at the next rebalance: under overload, requests wait for every write, and a
+# rebalance is put off while requests wait.
 LOW_RESERVE_SECONDS = 3.0
-# A cap is left as it is while it is within this factor of what is planned, so
-# that hosts don't write the shared page for nothing.
+# Relative difference between planned and held tokens below which the cap is left
+# unchanged, to avoid needless writes of the shared page.
 CAP_TOLERANCE = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a host needs of one budget.
+    """Demand for one budget at one host.
 
     Attributes:
-        used: Spent, and reserved at the most.
-        rate: Tokens a second that callers ask for.
-        wanted: Tokens that requests wait for now.
+        used: Tokens spent, plus the maximum cost of running requests.
+        rate: Tokens per second that callers request.
+        wanted: Tokens that requests are waiting for.
     """
 
     used: int
@@ -44,7 +48,7 @@
 
 
 def compute_max_cap(account: Account, budget: int, host: str) -> int:
-    """Return up to which cap a host could raise its own."""
+    """Return the highest cap that the budget allows a host."""
     own = account.shares.get(host, Share())
     return budget - (account.held - own.cap)
 
@@ -52,17 +56,17 @@
 def plan_share(
     account: Account, budget: int, host: str, demand: Demand, *, lends: bool
 ) -> Share:
-    """Return what a host should hold of a budget from now on.
+    """Return the share that a host should hold of a budget.
 
     Args:
-        account: The budget's account as it stands.
-        budget: Tokens paid for in all.
-        host: The host that asks.
-        demand: What it needs; at a lender that is what all routers need.
-        lends: The host holds the unspent rest for all routers.
+        account: The budget's account in the budget page.
+        budget: Total number of prepaid tokens.
+        host: The host to plan for.
+        demand: The host's demand; a lender's includes that of its borrowers.
+        lends: Whether the host lends this budget's tokens to other routers.
     """
     held = account.shares.get(host, Share())
-    room = max(0, compute_max_cap(account, budget, host) - demand.used)
+    available = max(0, compute_max_cap(account, budget, host) - demand.used)
     planned = 0
     if lends:
         unspent = max(0, budget - (account.used - held.used) - demand.used)
@@ -70,47 +74,49 @@
         planned = int(
             min(ISOLATED_RESERVE_SECONDS * rate, MAX_ISOLATED_FRACTION * unspent)
         )
-    cap = demand.used + min(room, max(planned, demand.wanted))
+    cap = demand.used + min(available, max(planned, demand.wanted))
     return Share(demand.used, cap, demand.rate)
 
 
 def plan_contact_cap(cap: int, demand: Demand, latency: float = 0.0) -> int:
-    """Return what a host may spend without asking while it is in contact.
+    """Return the bound of a host's spending while its contact proof is valid.
 
     Args:
-        cap: What it holds.
-        demand: What it needs.
-        latency: How long a write takes now, seconds.
+        cap: The host's cap in the budget page.
+        demand: The host's demand.
+        latency: Current duration of a store write in seconds.
     """
-    covered = CONTACT_RESERVE_SECONDS + CONTACT_RESERVE_WRITES * latency
+    covered_seconds = CONTACT_RESERVE_SECONDS + CONTACT_RESERVE_WRITES * latency
     spare = max(0, cap - demand.used)
-    usual = min(covered * demand.rate, MAX_CONTACT_FRACTION * spare)
-    return demand.used + min(spare, int(usual) + demand.wanted)
+    reserve = min(covered_seconds * demand.rate, MAX_CONTACT_FRACTION * spare)
+    return demand.used + min(spare, int(reserve) + demand.wanted)
 
 
 def is_running_low(cap: int, planned: Share, demand: Demand) -> bool:
-    """Whether a lender's share is about to end though it could hold more.
+    """Return whether a lender is nearly out of tokens and can raise its cap.
 
     Args:
-        cap: What it holds.
-        planned: What it should hold.
-        demand: What it needs.
+        cap: The lender's current cap.
+        planned: The share that the lender should hold.
+        demand: The lender's demand.
     """
-    have = cap - demand.used
+    remaining = cap - demand.used
     return (
-        have < LOW_RESERVE_SECONDS * demand.rate
-        and planned.cap - demand.used > 2 * have
+        remaining < LOW_RESERVE_SECONDS * demand.rate
+        and planned.cap - demand.used > 2 * remaining
     )
 
 
 def needs_rebalance(cap: int, planned: Share, demand: Demand) -> bool:
-    """Whether a host's share is worth a write of the shared page.
+    """Return whether a share differs enough from its plan to rewrite the page.
 
     Args:
-        cap: What it holds.
-        planned: What it should hold.
-        demand: What it needs.
+        cap: The host's current cap.
+        planned: The share that the host should hold.
+        demand: The host's demand.
     """
-    have = cap - demand.used
-    want = planned.cap - demand.used
-    return abs(have - want) > CAP_TOLERANCE * max(have, want, 1)
+    remaining = cap - demand.used
+    planned_remaining = planned.cap - demand.used
+    return abs(remaining - planned_remaining) > CAP_TOLERANCE * max(
+        remaining, planned_remaining, 1
+    )
--- a/packages/fleet/src/ibisport_fleet/clocks.py
+++ b/packages/fleet/src/ibisport_fleet/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks of a process, passed to whatever needs more than the loop's time."""
+"""Clocks of a process, for code that needs more than the event loop's time."""
 
 import time
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Clocks:
-    """Functions that return seconds.
+    """Clock functions, which return seconds.
 
     Attributes:
-        boot: Goes on while the machine is suspended; never jumps.
-        wall: The time of day, which may jump by seconds.
-        boot_id: Names the machine's present run, in which the boot clock counts; empty
-            if the system doesn't tell.
+        boot: Monotonic time since boot, including time in suspend.
+        wall: Time of day, which may jump by seconds.
+        boot_id: Identifier of the machine's current boot, which boot-clock times refer
+            to; empty if the system doesn't provide one.
     """
 
     boot: Callable[[], float]
@@ -25,16 +25,16 @@
 
 
 def read_boot_clock() -> float:
-    """Return the seconds since the machine started, suspended ones included."""
+    """Return the seconds since boot, including time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def read_boot_id() -> str:
-    """Return the id that the system drew when the machine started, or nothing."""
+    """Return the random identifier of the current boot, or an empty string."""
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
-        # Without it no process proves by the boot clock when another one ended.
+        # Without it, boot-clock times of different processes can't be compared.
         return ''
 
 
--- a/packages/fleet/src/ibisport_fleet/host_record.py
+++ b/packages/fleet/src/ibisport_fleet/host_record.py
@@ -1,9 +1,9 @@
-"""What a router's process says of its own spending, in a record of its own.
+"""The store record in which a router's process publishes bounds of its spending.
 
-Only one process writes it, so it is written often without a conflict. It tells
-less than the host's caps in the budget page allow: that is what a process that
-starts after a crash need count as spent, if it has the proof that the one before
-kept to it.
+Only one process writes the record, so frequent writes don't conflict. Its bounds
+are lower than the host's caps in the budget page. After a crash, the next process
+counts only these bounds as spent if it has proof that its predecessor respected
+them.
 """
 
 from dataclasses import dataclass, field
@@ -17,17 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRecord:
-    """The spending of one process.
+    """Bounds of the spending of one process.
 
     Attributes:
-        incarnation: The process.
-        sequence: Number of the write.
-        final: The process serves no more: the caps are what it spent.
-        caps: Bounds of what it spends while its proof of contact lives, by
-            workspace, in tokens.
-        boot_id: The machine's run in which the next two times are counted.
+        incarnation: Identifier of the process.
+        sequence: Sequence number of the write.
+        final: Whether the process serves no more requests; the caps are then the
+            amounts spent.
+        caps: Bounds of the spending while the contact proof is valid, in tokens by
+            workspace name.
+        boot_id: Identifier of the machine's boot, which the next two times refer to.
         written_at: Boot-clock time of the write.
-        bound_until: Boot-clock time up to which it keeps to these caps at the least.
+        bound_until: Boot-clock time until which the process is guaranteed to respect
+            these caps.
     """
 
     incarnation: str
@@ -48,15 +50,15 @@
 
 
 def encode_record(record: HostRecord) -> bytes:
-    """Return the record as it stands in the store."""
+    """Encode a record for the store."""
     return msgspec.json.encode(record)
 
 
 def decode_record(content: bytes) -> HostRecord:
-    """Return the record that stands in the store.
+    """Decode a record from the store.
 
     Raises:
-        RecordInvalid: The content is no record.
+        RecordInvalid: The content is not a valid host record.
     """
     try:
         return _DECODER.decode(content)
--- a/packages/fleet/src/ibisport_fleet/http_messages.py
+++ b/packages/fleet/src/ibisport_fleet/http_messages.py
@@ -1,10 +1,10 @@
-"""Requests and answers as they go over a connection, before they have a meaning."""
+"""HTTP requests and answers, independent of what they mean to the router."""
 
 from dataclasses import dataclass
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# RFC 9110, section 7.6.1: headers that concern one connection only.
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 CONNECTION_HEADERS = frozenset(
     (
         b'connection',
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request of a caller.
+    """A complete request from a caller.
 
     Attributes:
-        method: In capitals.
+        method: HTTP method in upper case.
         target: Path and query as sent.
-        headers: Names in lower case, values as sent, in order.
-        body: The whole body.
-        keeps_open: The caller may send another request on the connection.
-        received: Loop time at which its last byte was read, seconds.
-        connected: Loop time at which its connection came, seconds.
+        headers: Names in lower case and values as sent, in order.
+        body: The complete body.
+        keeps_open: Whether the connection may carry another request.
+        received_at: Loop time in seconds at which the last byte was read.
+        connected_at: Loop time in seconds at which the connection was accepted.
     """
 
     method: str
@@ -43,13 +43,20 @@
     connected_at: float
 
     def find(self, name: bytes) -> bytes | None:
-        """Return the first value of a header, given in lower case."""
+        """Return the first value of a header; the name must be in lower case."""
         return find_header(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers of an answer."""
+    """Status and headers of an answer.
+
+    Attributes:
+        status: HTTP status code.
+        headers: Names in lower case and values as sent, in order.
+        keeps_open: Whether the connection may carry another request.
+        framed: Whether the headers state where the body ends.
+    """
 
     status: int
     headers: Headers
@@ -57,26 +64,26 @@
     framed: bool
 
     def find(self, name: bytes) -> bytes | None:
-        """Return the first value of a header, given in lower case."""
+        """Return the first value of a header; the name must be in lower case."""
         return find_header(self.headers, name)
 
     @property
     def length(self) -> int:
-        """The stated length of the body in bytes; 0 if none is stated."""
+        """Value of the content-length header in bytes, or 0 without one."""
         stated = self.find(b'content-length') or b''
         return int(stated) if stated.isdigit() else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer: its head and its body."""
+    """A complete answer."""
 
     head: AnswerHead
     body: bytes
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header, given in lower case."""
+    """Return the first value of a header; the name must be in lower case."""
     for key, content in headers:
         if key == name:
             return content
@@ -84,10 +91,10 @@
 
 
 def drop_connection_headers(headers: Headers) -> Headers:
-    """Return the headers that go on to the next peer.
+    """Return the headers to forward to the next peer.
 
-    Besides the well-known ones, those that ``Connection`` names are dropped, and
-    the length, which whoever sends the body states anew.
+    Drops the well-known connection headers, the headers listed in ``Connection``, and
+    the content length, which the sender of the body sets again.
     """
     named = find_header(headers, b'connection') or b''
     listed = {part.strip().lower() for part in named.split(b',')}
@@ -96,7 +103,7 @@
 
 
 def encode_head(start: bytes, headers: Headers) -> bytes:
-    """Return a message's head as bytes, up to and with the empty line."""
+    """Encode the start line and headers of a message, including the empty line."""
     lines = [start]
     lines += [name + b': ' + content for name, content in headers]
     return b'\r\n'.join(lines) + b'\r\n\r\n'
--- a/packages/fleet/src/ibisport_fleet/ledger.py
+++ b/packages/fleet/src/ibisport_fleet/ledger.py
@@ -1,24 +1,25 @@
-"""What this process has spent and reserved of each budget, and may still spend."""
+"""Tracks what this process has spent, reserved and may still spend per budget."""
 
 import math
 from dataclasses import dataclass
 
 from ibisport_fleet.cap_planning import Demand
 
-# Demand is averaged over about this time: long enough to see rare large prompts,
-# short enough to follow a workspace that suddenly sends several times its usual.
+# Time constant of the exponential average of demand: long enough to include rare large
+# prompts, short enough to follow a workspace whose rate suddenly multiplies.
 DEMAND_TIME_CONSTANT_SECONDS = 8.0
 
 
 @dataclass(slots=True)
 class Reservation:
-    """Tokens held for one request.
+    """Tokens reserved for one request.
 
     Attributes:
-        workspace: Whose tokens they are; None: nobody pays.
-        tokens: The most that the request may cost.
-        spent: What it has cost so far.
-        borrowed: The tokens are another router's, which counts them as spent.
+        workspace: Name of the workspace that pays, or None if the request is free.
+        tokens: Maximum cost of the request.
+        spent: Cost of the request so far.
+        borrowed: Whether the tokens were lent by another router, which already
+            counts them as spent.
     """
 
     workspace: str | None
@@ -29,16 +30,17 @@
 
 @dataclass(slots=True)
 class LocalBudget:
-    """One budget at this host, in tokens since the process began.
+    """This process's part of one budget, in tokens since the process started.
 
     Attributes:
-        settled: Spent by requests that have ended.
-        reserved: Held for requests that run.
-        contact_cap: Bound while the proof of contact lives, as it surely stands
-            in the store.
-        cap: Bound without it, as it surely stands in the store.
-        wanted: Tokens that requests wait for.
-        borrowed: Tokens lent by another router that no request holds.
+        settled: Tokens spent by completed requests.
+        reserved: Tokens reserved for running requests.
+        contact_cap: Bound of the spending while the contact proof is valid, as far
+            as the store is known to hold it.
+        cap: Bound of the spending after the contact proof has expired, as far as
+            the store is known to hold it.
+        wanted: Tokens that requests are waiting for.
+        borrowed: Tokens lent by another router that no request has reserved.
     """
 
     settled: int = 0
@@ -52,46 +54,46 @@
 
     @property
     def used(self) -> int:
-        """Spent, and reserved at the most."""
+        """Tokens spent, plus the maximum cost of running requests."""
         return self.settled + self.reserved
 
     def add_demand(self, tokens: int, now: float) -> None:
-        """Count tokens that callers asked for, less those that they give back."""
+        """Add requested tokens to the demand; negative for tokens given back."""
         self._decay(now)
         self._recent_demand = max(0.0, self._recent_demand + tokens)
 
     def fits(self, tokens: int, isolated: bool) -> bool:
-        """Whether a request of so many tokens is within the bounds."""
+        """Return whether a request of this many tokens is within the bounds."""
         bound = self.cap if isolated else min(self.cap, self.contact_cap)
         return self.used + tokens <= bound
 
     def measure_demand(self, now: float) -> Demand:
-        """Return what this host needs of the budget."""
+        """Return the current demand for the budget at this host."""
         self._decay(now)
         return Demand(
             self.used, self._recent_demand / DEMAND_TIME_CONSTANT_SECONDS, self.wanted
         )
 
     def _decay(self, now: float) -> None:
-        passed = now - self._decayed_at
-        kept = math.exp(-passed / DEMAND_TIME_CONSTANT_SECONDS)
-        self._recent_demand *= kept
+        elapsed_seconds = now - self._decayed_at
+        decay_factor = math.exp(-elapsed_seconds / DEMAND_TIME_CONSTANT_SECONDS)
+        self._recent_demand *= decay_factor
         self._decayed_at = now
 
 
 class Ledger:
-    """All budgets at this host."""
+    """This process's part of all budgets."""
 
     def __init__(self) -> None:
         self._local_budgets: dict[str, LocalBudget] = {}
 
     @property
     def local_budgets(self) -> dict[str, LocalBudget]:
-        """The budgets by workspace."""
+        """This process's part of each budget, by workspace name."""
         return self._local_budgets
 
     def find(self, workspace: str) -> LocalBudget:
-        """Return the purse of a workspace, empty at first."""
+        """Return the local budget of a workspace; creates it on first use."""
         found = self._local_budgets.get(workspace)
         if found is None:
             found = LocalBudget()
@@ -101,62 +103,65 @@
     def reserve(
         self, workspace: str, tokens: int, isolated: bool
     ) -> Reservation | None:
-        """Hold tokens for a request, or return None if they aren't at hand."""
+        """Reserve tokens for a request, or return None if the bounds don't allow it."""
         if not self.find(workspace).fits(tokens, isolated):
             return None
         return self.hold(workspace, tokens)
 
     def hold(self, workspace: str, tokens: int) -> Reservation:
-        """Hold tokens for a request; that they are at hand was checked before."""
+        """Reserve tokens for a request whose bounds the caller has checked."""
         self.find(workspace).reserved += tokens
         return Reservation(workspace, tokens)
 
     def settle(self, reservation: Reservation) -> None:
-        """Count what a request has cost and give the rest back."""
+        """Record the final cost of a request and release the rest."""
         if reservation.workspace is None:
             return
-        purse = self.find(reservation.workspace)
+        local_budget = self.find(reservation.workspace)
         if reservation.borrowed:
             unspent = reservation.tokens - min(reservation.spent, reservation.tokens)
-            purse.borrowed += unspent
+            local_budget.borrowed += unspent
             return
-        purse.reserved -= reservation.tokens
-        purse.settled += min(reservation.spent, reservation.tokens)
+        local_budget.reserved -= reservation.tokens
+        local_budget.settled += min(reservation.spent, reservation.tokens)
 
     def reserve_borrowed(self, workspace: str, tokens: int) -> Reservation | None:
-        """Hold borrowed tokens for a request, or return None if they don't do."""
-        purse = self.find(workspace)
-        if purse.borrowed < tokens:
+        """Reserve borrowed tokens, or return None if there aren't enough."""
+        local_budget = self.find(workspace)
+        if local_budget.borrowed < tokens:
             return None
-        purse.borrowed -= tokens
+        local_budget.borrowed -= tokens
         return Reservation(workspace, tokens, borrowed=True)
 
     def credit_repayment(self, workspace: str, tokens: int) -> None:
-        """Count lent tokens as not spent after all."""
-        purse = self.find(workspace)
-        purse.settled -= min(tokens, purse.settled)
+        """Subtract repaid loans from the tokens counted as spent."""
+        local_budget = self.find(workspace)
+        local_budget.settled -= min(tokens, local_budget.settled)
 
     def apply_unconfirmed(
         self, contact_caps: dict[str, int], caps: dict[str, int], isolated: bool
     ) -> None:
-        """Bound the purses by a write that may or may not be done.
+        """Apply the bounds of a write whose outcome is unknown.
+
+        Both the old and the new bounds may be in the store, so the lower of the two
+        applies.
 
         Args:
             contact_caps: The contact caps of the write.
             caps: Its caps; empty if the write doesn't change them.
-            isolated: The proof of contact beside the old caps has run out, so
-                that the old contact caps don't bind any more.
+            isolated: Whether the contact proof for the old bounds has expired. The
+                old contact caps no longer apply in that case.
         """
         for name, contact_cap in contact_caps.items():
-            purse = self.find(name)
-            old = purse.cap if isolated else purse.contact_cap
-            purse.contact_cap = min(old, contact_cap)
-            purse.cap = min(purse.cap, caps.get(name, purse.cap))
+            local_budget = self.find(name)
+            old_bound = local_budget.cap if isolated else local_budget.contact_cap
+            local_budget.contact_cap = min(old_bound, contact_cap)
+            local_budget.cap = min(local_budget.cap, caps.get(name, local_budget.cap))
 
     def apply_confirmed(
         self, contact_caps: dict[str, int], caps: dict[str, int]
     ) -> None:
-        """Bound the purses by a write that surely stands in the store."""
+        """Apply the bounds of a write that is known to be stored."""
         for name, contact_cap in contact_caps.items():
             self.find(name).contact_cap = contact_cap
         for name, cap in caps.items():
--- a/packages/fleet/src/ibisport_fleet/lenders.py
+++ b/packages/fleet/src/ibisport_fleet/lenders.py
@@ -1,8 +1,8 @@
-"""Decides which router holds the unspent rest of a budget and lends it to others.
+"""Selects the routers that hold the unspent part of a budget and lend it to others.
 
-Were the rest cut into a piece for each router, each piece would need its own writes
-and its own reserve. So few routers hold it, and the others borrow for each request
-over the routers' own links, which costs no call to the store.
+If the unspent part were divided among all routers, each router would need its own
+store writes and its own reserve. Instead, a few routers hold it, and the other routers
+borrow for each request over connections between routers, without a store call.
 """
 
 from collections.abc import Iterable
@@ -10,25 +10,25 @@
 
 import xxhash
 
-# One lender for so many routers, so that each is asked for few loans. At least two, so
-# that not all budgets feel the loss of one router.
+# Bounds the loan requests that each lender receives.
 ROUTERS_PER_LENDER = 12
+# With a single lender, the loss of one router would affect all budgets.
 MIN_LENDERS = 2
 
 
 def rank_lenders(hosts: Iterable[str], workspace: str) -> list[str]:
-    """Return the hosts that lend a workspace's tokens, the first one first.
+    """Return the hosts that lend a workspace's tokens, most preferred first.
 
-    All routers that know the same hosts agree; where they don't, budgets hold all
-    the same.
+    Routers that know the same hosts compute the same ranking. If rankings differ,
+    budgets are still never overspent.
 
     Args:
         hosts: Names of the routers' hosts.
-        workspace: The workspace whose budget it is.
+        workspace: Name of the workspace that owns the budget.
     """
-    drawn = sorted(hosts, key=_hash)
-    most = max(MIN_LENDERS, ceil(len(drawn) / ROUTERS_PER_LENDER))
-    return sorted(drawn[:most], key=lambda host: _hash(f'{workspace}|{host}'))
+    hashed = sorted(hosts, key=_hash)
+    lender_count = max(MIN_LENDERS, ceil(len(hashed) / ROUTERS_PER_LENDER))
+    return sorted(hashed[:lender_count], key=lambda host: _hash(f'{workspace}|{host}'))
 
 
 def _hash(text: str) -> int:
--- a/packages/fleet/src/ibisport_fleet/loans.py
+++ b/packages/fleet/src/ibisport_fleet/loans.py
@@ -1,7 +1,7 @@
-"""Loans of tokens between routers, over HTTP on their own links.
+"""Loans of tokens between routers, over direct HTTP connections.
 
-The lender counts what it lends as spent, so a loan whose answer is lost, or whose
-borrower dies, costs tokens and never overspends.
+A lender counts lent tokens as spent. A loan whose answer is lost, or whose borrower
+dies, therefore wastes tokens but never overspends a budget.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -14,21 +14,21 @@
 from ibisport_fleet.peers import PeerClient, PeerHandler, decode_message
 
 LOANS_PATH = b'/loans'
-# The largest whole number that JSON carries exactly everywhere.
-# A negative count would create tokens at the lender.
+# The largest integer that every JSON implementation represents exactly. The lower
+# bound is 0 because a negative count would create tokens at the lender.
 MAX_TOKENS = 2**53
 _TokenCount = Annotated[int, msgspec.Meta(ge=0, le=MAX_TOKENS)]
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """What a borrower asks for.
+    """A borrower's request for tokens, a repayment, or both.
 
     Attributes:
-        lender: The lender's process, as the borrower knows it.
-        workspace: Whose tokens.
-        tokens: How many are needed.
-        repaid: Tokens of earlier loans of this process that come back unspent.
+        lender: Incarnation of the lender's process that the request is meant for.
+        workspace: Name of the workspace whose tokens are lent.
+        tokens: Number of tokens requested.
+        repaid: Unspent tokens from earlier loans of that process.
     """
 
     lender: str
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """What a lender answers.
+    """A lender's answer.
 
     Attributes:
-        tokens: Lent: all that was asked for, or none.
+        tokens: Tokens lent: all that were requested, or 0.
         used: Tokens of the budget known to be spent or reserved.
-        certain: The lender reaches the store, so nobody else can bring the tokens
-            any sooner.
+        certain: Whether the lender reaches the store. If so, no other router can
+            provide the tokens sooner.
     """
 
     tokens: _TokenCount
@@ -54,7 +54,7 @@
 
 
 class LoanPeer(Protocol):
-    """Reaches other routers."""
+    """Transport that carries loan requests to other routers."""
 
     async def ask(
         self, address: Address, request: LoanRequest, deadline: float
@@ -62,12 +62,12 @@
         """Return a lender's answer.
 
         Raises:
-            PeerUnavailable: No answer came by then.
+            PeerUnavailable: No answer arrived before the deadline.
         """
 
 
 class LoanClient:
-    """Asks lenders."""
+    """Sends loan requests to lenders over HTTP."""
 
     def __init__(self, peers: PeerClient) -> None:
         self._peers = peers
@@ -82,14 +82,14 @@
 
 
 class LoanServer:
-    """Answers borrowers."""
+    """Handles loan requests from borrowers."""
 
     def __init__(self, lend: Callable[[LoanRequest], Awaitable[Loan]]) -> None:
         self._lend = lend
 
     @property
     def handlers(self) -> Mapping[bytes, PeerHandler]:
-        """What takes borrowers' messages, by path."""
+        """Handlers of loan requests by path."""
         return {LOANS_PATH: self._handle}
 
     async def _handle(self, content: bytes) -> bytes:
--- a/packages/fleet/src/ibisport_fleet/membership.py
+++ b/packages/fleet/src/ibisport_fleet/membership.py
@@ -1,4 +1,4 @@
-"""Which routers there are, by entries that each of them keeps alive in the store."""
+"""Router membership, based on leased entries that routers maintain in the store."""
 
 import asyncio
 import contextlib
@@ -14,21 +14,22 @@
 from ibisport_fleet.store import Item, Listing, Put, Store
 
 MEMBER_PREFIX = 'ibisport/router/'
-# What all routers read about as often as the list of routers lies beside it: one
-# listing brings both.
+# Shared state that routers read as often as the member list has keys with this prefix
+# too, so that one listing returns both.
 SHARED_PREFIX = 'ibisport/router'
-# A lease is renewed and the list read about three times within it, so that one lost
-# answer costs no entry. Both calls cost a tenth of a usual one.
+# The lease is renewed and the list read about three times per lease, so that one lost
+# answer doesn't expire the entry. Both calls cost a tenth of an ordinary one.
 ENTRY_LEASE_SECONDS = 5.0
 REFRESH_INTERVAL_SECONDS = 1.5
-# The same until the list holds this router: nobody lends or borrows well before.
+# Used until the list includes this router, because lending and borrowing depend on it.
 INITIAL_REFRESH_INTERVAL_SECONDS = 0.3
-# Until a router that leaves tries again to end its entry: a store may refuse at once.
+# Delay before a leaving router retries to end its lease, since a store may refuse calls
+# immediately.
 WITHDRAW_BACKOFF_SECONDS = 0.1
-# An entry that lapsed while the store was away may belong to a living router: it
-# counts among those that share a budget of retries for so long.
+# An entry that expired in a store outage may belong to a live router, so its host still
+# counts for this time among the routers that share a budget of retries.
 HOST_RETENTION_SECONDS = 15.0
-# A stale list may lack the newest entries for some seconds.
+# Stale listings may lack entries written within this time.
 MAX_LISTING_AGE_SECONDS = 6.0
 
 
@@ -37,9 +38,9 @@
     """One router.
 
     Attributes:
-        host: Name of its host.
-        incarnation: Its process.
-        address: Where it lends to other routers.
+        host: Name of the router's host.
+        incarnation: Identifier of the router's process.
+        address: Address at which the router accepts messages from other routers.
     """
 
     host: str
@@ -51,18 +52,18 @@
 
 
 class Membership:
-    """This router's entry, and the list of all.
+    """Maintains this router's entry and the list of all routers.
 
     Attributes:
         own: This router.
-        current: All routers of the newest list, by host; this one is always in it.
-        listed: A list that holds this router was read. One that was read before may
-            lack all that start at the same time, and whoever knows no other router
-            takes itself for the lender of every budget.
-        hosts: Hosts of all routers that were listed lately.
-        may_lend: This router can lend and is listed; others would wait for a
-            lender that can't.
-        on_listing: Is called with each listing of the shared prefix, if set.
+        current: All routers of the newest list, by host; always includes this router.
+        listed: Whether a list that includes this router was read. An earlier list may
+            lack all routers that start at the same time, and a router that knows no
+            other router ranks itself as the lender of every budget.
+        hosts: Hosts of all recently listed routers.
+        may_lend: Whether this router can lend and registers its entry. Other routers
+            would wait for a listed lender that can't lend.
+        on_listing: Called with each listing of the shared prefix, if set.
     """
 
     def __init__(
@@ -89,15 +90,17 @@
 
     @property
     def count(self) -> int:
-        """How many routers there may be, this one counted."""
+        """Number of recently listed routers, including this one."""
         return len(self._list_recent_hosts())
 
     def list_others(self) -> list[Member]:
-        """Return all other routers of the newest list."""
-        return [one for one in self.current.values() if one.host != self.own.host]
+        """Return the other routers of the newest list."""
+        return [
+            member for member in self.current.values() if member.host != self.own.host
+        ]
 
     async def run(self) -> None:
-        """Keep the entry alive and the list fresh for ever."""
+        """Renew the entry and refresh the list periodically; never returns."""
         while True:
             try:
                 await self._refresh()
@@ -106,13 +109,13 @@
             await self._wait()
 
     def leave(self) -> None:
-        """Take this router off the list; it lends no more."""
+        """Remove this router from the list, so that it isn't asked to lend."""
         self._leaving.set()
 
     async def _wait(self) -> None:
-        """Wait for the next turn; after ``leave`` it comes soon."""
+        """Wait for the next refresh, which is soon after ``leave``."""
         if self._leaving.is_set():
-            # A leave in the middle of a turn has found its entry not yet ended.
+            # A leave during a refresh may not have ended the lease yet.
             await asyncio.sleep(
                 WITHDRAW_BACKOFF_SECONDS if self._lease else REFRESH_INTERVAL_SECONDS
             )
@@ -139,7 +142,7 @@
             self.on_listing(listing)
 
     def _decode_entry(self, item: Item) -> Member | None:
-        """Return a router's entry; one that can't be read costs no other its place."""
+        """Decode a router's entry; log and skip it if it is invalid."""
         try:
             return decode_member(item)
         except RecordInvalid as error:
@@ -151,10 +154,10 @@
             await self._register()
 
     async def _withdraw(self) -> None:
-        """End the entry: until it lapses others take this router for a lender.
+        """End the lease, because other routers use a listed router as a lender.
 
-        They would ask it for each loan, and whoever lends in its place would write the
-        page for each.
+        Until the entry expires, they would request each loan from this router first,
+        and the lender that replaces it would write the budget page for each loan.
         """
         if self._lease:
             await self._store.end_lease(self._lease)
@@ -168,17 +171,24 @@
         self._registered_at = self._read_clock()
 
     def _list_recent_hosts(self) -> set[str]:
-        """Return the hosts of routers that were listed lately, this one's too."""
-        oldest = self._read_clock() - HOST_RETENTION_SECONDS
-        seen = {host for host, seen in self._last_listed_at.items() if seen > oldest}
-        return seen | {self.own.host}
+        """Return the hosts of recently listed routers, including this one's."""
+        cutoff = self._read_clock() - HOST_RETENTION_SECONDS
+        recent = {
+            host
+            for host, listed_at in self._last_listed_at.items()
+            if listed_at > cutoff
+        }
+        return recent | {self.own.host}
 
     def _apply_members(self, members: list[Member]) -> None:
         now = self._read_clock()
         listed = {member.host: member for member in members}
-        known = listed.get(self.own.host)
-        if known != self.own and now - self._registered_at > MAX_LISTING_AGE_SECONDS:
-            # A write of the process before, done late, has taken the entry's place.
+        listed_own = listed.get(self.own.host)
+        if (
+            listed_own != self.own
+            and now - self._registered_at > MAX_LISTING_AGE_SECONDS
+        ):
+            # A delayed write of the predecessor has replaced the entry.
             self._lease = 0
         listed[self.own.host] = self.own
         self._last_listed_at.update(dict.fromkeys(listed, now))
@@ -186,14 +196,14 @@
             self._log.write(Event.members_changed, routers=len(listed))
         self.current = listed
         self.hosts = frozenset(self._list_recent_hosts())
-        self.listed = self.listed or known == self.own
+        self.listed = self.listed or listed_own == self.own
 
 
 def decode_member(item: Item) -> Member:
-    """Return the router that an entry tells of.
+    """Decode a router's entry.
 
     Raises:
-        RecordInvalid: The entry can't be read.
+        RecordInvalid: The content is not a valid router entry.
     """
     try:
         return _DECODER.decode(item.content)
--- a/packages/fleet/src/ibisport_fleet/notices.py
+++ b/packages/fleet/src/ibisport_fleet/notices.py
@@ -1,4 +1,4 @@
-"""Tells all other routers of something, over their own links."""
+"""Sends notices to all other routers over direct connections."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Notifier:
-    """Sends notices; what the receivers do with them must be idempotent."""
+    """Sends notices, with retries; receivers must handle them idempotently."""
 
     def __init__(self, members: Membership, peers: PeerClient, log: EventLog) -> None:
         self._members = members
@@ -22,11 +22,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def notify(self, path: bytes, content: bytes) -> None:
-        """Send a notice to each other router that is listed; don't wait for it."""
+        """Send a notice to each listed router in the background."""
         loop = asyncio.get_running_loop()
         for member in self._members.list_others():
             task = loop.create_task(self._send(member, path, content))
-            # The loop itself keeps no reference to a task.
+            # The event loop keeps only weak references to tasks.
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
--- a/packages/fleet/src/ibisport_fleet/peers.py
+++ b/packages/fleet/src/ibisport_fleet/peers.py
@@ -1,4 +1,4 @@
-"""Messages between routers, over HTTP on their own links."""
+"""Messages between routers, over direct HTTP connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -26,7 +26,7 @@
     b'HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n'
 )
 LIMITS = Limits(max_header_bytes=1_024, max_body_bytes=65_536)
-# Servers keep connections open for so long; clients give them up before.
+# Clients drop idle connections earlier than servers close them.
 IDLE_TIMEOUT_SECONDS = 30.0
 POOL_IDLE_SECONDS = 20.0
 # Connecting takes under 5 ms between failure domains.
@@ -37,7 +37,7 @@
 
 
 class PeerClient:
-    """Asks other routers over kept connections."""
+    """Sends messages to other routers over pooled connections."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
@@ -45,53 +45,53 @@
     async def ask(
         self, address: Address, path: bytes, content: bytes, deadline: float
     ) -> bytes:
-        """Send a message and return the answer to it.
+        """Send a message and return the answer.
 
         Args:
-            address: Where the other router listens for peers.
-            path: Names the kind of the message.
-            content: The message.
-            deadline: Loop time until which the answer must be whole.
+            address: Address at which the other router listens for peers.
+            path: Path that identifies the message type.
+            content: The encoded message.
+            deadline: Loop time until which the answer must be complete.
 
         Raises:
-            PeerUnavailable: No usable answer came by then.
+            PeerUnavailable: No usable answer arrived before the deadline.
         """
         loop = asyncio.get_running_loop()
-        connect_until = min(deadline, loop.time() + CONNECT_TIMEOUT_SECONDS)
+        connect_deadline = min(deadline, loop.time() + CONNECT_TIMEOUT_SECONDS)
         try:
-            exchange = self._pool.acquire_idle(address) or await self._pool.open(
-                address, connect_until
+            connection = self._pool.acquire_idle(address) or await self._pool.open(
+                address, connect_deadline
             )
         except ConnectionFailed as error:
             raise PeerUnavailable(repr(error)) from error
-        start = b'POST %b HTTP/1.1' % path
+        request_line = b'POST %b HTTP/1.1' % path
         try:
             async with asyncio.timeout_at(deadline):
-                answer = await exchange.request(start, HEADERS, content)
+                answer = await connection.request(request_line, HEADERS, content)
         except (ConnectionBroken, TimeoutError) as error:
-            exchange.close()
+            connection.close()
             raise PeerUnavailable(repr(error)) from error
         except asyncio.CancelledError:
-            exchange.close()
+            connection.close()
             raise
-        self._pool.release(exchange, POOL_IDLE_SECONDS)
+        self._pool.release(connection, POOL_IDLE_SECONDS)
         return answer.body
 
 
 class PeerServer:
-    """Accepts other routers' connections.
+    """Serves messages from other routers.
 
     Attributes:
-        connections: The connections of other routers.
+        connections: Accepts and tracks the connections of other routers.
     """
 
     def __init__(self, handlers: Mapping[bytes, PeerHandler], log: EventLog) -> None:
-        """Keep what handles each kind of message.
+        """Initialize with the handlers of the message types.
 
         Args:
-            handlers: By path; each gets a message and returns the answer, or raises
-                a FleetError.
-            log: Where a failure of a connection is written.
+            handlers: Handlers by path. Each takes an encoded message and returns the
+                encoded answer, or raises a FleetError.
+            log: Event log for connection failures.
         """
         self._handlers = handlers
         self.connections = ConnectionTasks(self._serve, 'peers', log)
@@ -107,7 +107,7 @@
                         asyncio.get_running_loop().time() + IDLE_TIMEOUT_SECONDS
                     )
         except (FleetError, TimeoutError):
-            # The peer sees its connection end and asks elsewhere.
+            # The peer sees the connection end and turns to another router.
             channel.abort()
 
     async def _handle(self, path: bytes, content: bytes) -> bytes:
@@ -117,13 +117,13 @@
         return await handler(content)
 
 
-def decode_message(content: bytes, kind: type[_Message]) -> _Message:
-    """Return a message of a kind.
+def decode_message(content: bytes, message_type: type[_Message]) -> _Message:
+    """Decode a message of the given type.
 
     Raises:
-        PeerUnavailable: The bytes are no such message.
+        PeerUnavailable: The content is not a valid message of that type.
     """
     try:
-        return msgspec.json.decode(content, type=kind)
+        return msgspec.json.decode(content, type=message_type)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise PeerUnavailable(f'unreadable message: {error!r}') from error
--- a/packages/fleet/src/ibisport_fleet/predecessor.py
+++ b/packages/fleet/src/ibisport_fleet/predecessor.py
@@ -1,4 +1,4 @@
-"""What the process before this one on a host may have spent of the budgets."""
+"""Bounds what the previous process on a host may have spent of the budgets."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,21 @@
 from ibisport_fleet.host_record import HostRecord, decode_record
 from ibisport_fleet.store import Item
 
-# A crash of all routers is over within 1.2 s and half a second of starting; the
-# proof is up to 0.7 s old then.
+# After a crash of all routers the next processes run within 1.2 s plus half a second
+# of startup, and the proof was up to 0.7 s old at the crash.
 PROOF_LEASE_SECONDS = 2.5
-# The wall clock only takes trust away: a proof that looks older than its lease
-# was held up by an outage of the store.
+# The wall clock can only invalidate a proof: one that appears older than its lease has
+# outlived it because of a store outage.
 WALL_CLOCK_MARGIN_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class PredecessorState:
-    """What a process left in the store besides its shares in the page.
+    """What a process left in the store besides its shares in the budget page.
 
     Attributes:
-        record: Its host's record, or None.
-        proof: Its proof of contact, if that still lives.
+        record: The host's record, or None if there is none.
+        proof: The contact proof, or None if it has expired.
     """
 
     record: Item | None
@@ -32,18 +32,19 @@
 
     @property
     def record_revision(self) -> int:
-        """The record's revision; 0 if there is none."""
+        """Revision of the record, or 0 if there is none."""
         return 0 if self.record is None else self.record.revision
 
 
 @dataclass(frozen=True, slots=True)
 class Successor:
-    """The process that comes after it on the same host.
+    """The process that follows a predecessor on the same host.
 
     Attributes:
-        boot_id: The machine's run, empty if unknown.
-        started_at: Boot-clock time at which it surely ran, and the former no more.
-        wall: The time of day now, seconds.
+        boot_id: Identifier of the machine's boot, empty if unknown.
+        started_at: Boot-clock time at which this process was running and the
+            predecessor had ended.
+        wall: Current time of day in seconds.
     """
 
     boot_id: str
@@ -52,58 +53,64 @@
 
 
 def bound_spent(
-    before: Session | None, remains: PredecessorState, after: Successor, log: EventLog
+    predecessor: Session | None,
+    state: PredecessorState,
+    successor: Successor,
+    log: EventLog,
 ) -> dict[str, int]:
-    """Return bounds of what a process has spent, by workspace; empty if unknown.
+    """Return bounds of a process's spending by workspace name; empty if unknown.
 
     Args:
-        before: The process, as the page tells it.
-        remains: What it left.
-        after: The process that asks.
-        log: Where a record that can't be read is written.
+        predecessor: The process's session in the budget page.
+        state: What the process left in the store.
+        successor: The process that follows it.
+        log: Event log for records that can't be decoded.
     """
-    if before is None or remains.record is None:
+    if predecessor is None or state.record is None:
         return {}
     try:
-        record = decode_record(remains.record.content)
+        record = decode_record(state.record.content)
     except RecordInvalid as error:
         log.write(Event.record_refused, reason=str(error))
         return {}
-    if record.incarnation != before.incarnation:
+    if record.incarnation != predecessor.incarnation:
         return {}
-    if record.final or _ended_in_contact(record, after):
+    if record.final or _ended_in_contact(record, successor):
         return record.caps
-    if _is_proof_valid(remains.proof, before, after.wall, log):
+    if _is_proof_valid(state.proof, predecessor, successor.wall, log):
         return record.caps
     return {}
 
 
-def _ended_in_contact(record: HostRecord, after: Successor) -> bool:
-    """Whether a process ended before its caps could hold instead of its contact caps.
+def _ended_in_contact(record: HostRecord, successor: Successor) -> bool:
+    """Return whether a process ended before it could exceed its contact caps.
 
-    Its successor on the same machine runs only after it. So the proof need not be read
-    in time: a lender killed as the store went away for six seconds stranded its whole
-    reserve, a third of the unspent budgets.
+    The successor on the same machine starts only after the process has ended, so the
+    contact proof need not be read before it expires. Without this check, a lender that
+    was killed when the store went down for six seconds stranded its whole reserve, a
+    third of the unspent budgets.
     """
-    same_run = bool(record.boot_id) and record.boot_id == after.boot_id
-    return same_run and record.written_at <= after.started_at <= record.bound_until
+    is_same_boot = bool(record.boot_id) and record.boot_id == successor.boot_id
+    return (
+        is_same_boot and record.written_at <= successor.started_at <= record.bound_until
+    )
 
 
 def _is_proof_valid(
-    proof: Item | None, before: Session, wall: float, log: EventLog
+    proof: Item | None, predecessor: Session, wall: float, log: EventLog
 ) -> bool:
-    """Whether a proof of contact shows that the process kept to its record."""
+    """Return whether a contact proof shows that a process respected its record."""
     if proof is None:
         return False
     try:
-        incarnation, written = msgspec.json.decode(
+        incarnation, written_at = msgspec.json.decode(
             proof.content, type=tuple[str, float]
         )
     except msgspec.MsgspecError as error:
         log.write(Event.record_refused, key=proof.key, reason=repr(error))
         return False
-    age = wall - written
+    age = wall - written_at
     return (
-        incarnation == before.incarnation
+        incarnation == predecessor.incarnation
         and age < PROOF_LEASE_SECONDS + WALL_CLOCK_MARGIN_SECONDS
     )
--- a/packages/fleet/src/ibisport_fleet/shutdown.py
+++ b/packages/fleet/src/ibisport_fleet/shutdown.py
@@ -1,52 +1,53 @@
-"""When a router that was told to stop takes its last request and ends.
+"""Times at which a stopping router accepts its last requests and exits.
 
-What is taken must be answered before the platform kills the process. Callers whose
-request can't be answered in time are told so at once, while they can still be served
-by another router.
+Accepted requests must be answered before the platform kills the process. Requests
+that can't be answered in time are refused immediately, while another router can still
+serve them.
 """
 
 from dataclasses import dataclass
 
-# The balancer asks once a second and takes a host out after two misses; the
-# listener stays open that long and a bit more.
+# The load balancer checks once per second and removes a host after two failures. The
+# listener stays open slightly longer than that.
 LISTENING_SECONDS = 3.2
-# The balancer has had its two misses by then. Who comes later, on an open connection or
-# since too many routers leave at once, is taken only if the answer is due before the
-# end.
+# The load balancer has seen two failed checks by then. Requests that arrive later, on
+# an open connection or because too many routers stop at once, are accepted only if
+# their answer is due before the end.
 ACCEPTING_SECONDS = 2.8
-# The others' lists are up to 1.5 s old. A lender that leaves stays on them at first, so
-# that of many routers that stop one after another few are missing, and lends as long as
-# it may still be asked.
+# Member lists of other routers are up to 1.5 s old. A leaving lender stays listed at
+# first, so that few lenders are missing while many routers stop one after another, and
+# lends for as long as it may still receive loan requests.
 LISTED_SECONDS = 1.3
 LENDING_SECONDS = 3.0
-# The first of many routers that stopped together have ended by then, with what they had
-# taken last, and started again.
+# By then, the first of many routers that stopped together have answered their last
+# requests, exited and started again.
 RESTART_SECONDS = 5.0
-# Before the kill: the first account of what was spent, which may meet a slow store.
+# Before the kill: the first write of the final spending, which a slow store may delay.
 SETTLEMENT_MARGIN_SECONDS = 1.0
-# Before the kill: final answers, the last account and what slow links still carry.
+# Before the kill: final answers, the last write of the spending and data in flight on
+# slow links.
 ANSWER_MARGIN_SECONDS = 0.6
-# Before the kill: the end of the process itself.
+# Before the kill: the exit of the process.
 EXIT_MARGIN_SECONDS = 0.25
-# The grace that these figures are made for; with a shorter one all of them shrink, so
-# that answers still run until its last sixth.
+# Grace period that the durations above assume. A shorter grace period scales all of
+# them down, so that answers still run until its last sixth.
 REFERENCE_GRACE_SECONDS = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """The moments of a planned stop, all of them loop times.
+    """The schedule of a shutdown; all times are loop times.
 
     Attributes:
-        begun_at: The process was told to stop.
-        listed_until: It is on the list of lenders.
-        lends_until: It lends to other routers.
-        accepts_until: Requests are taken however long they may last.
-        listening_until: New connections are accepted.
-        restarts_at: The first routers that were told to stop together start again.
-        accounts_at: What was spent is written for the first time.
-        answers_until: What still runs gets its final answer.
-        ends_at: The process ends.
+        begun_at: The process received the signal to stop.
+        listed_until: End of the router's listing as a lender.
+        lends_until: End of lending to other routers.
+        accepts_until: End of accepting requests regardless of their duration.
+        listening_until: End of accepting connections.
+        restarts_at: Earliest time at which routers that stopped together run again.
+        settlement_at: First write of the final spending.
+        answers_until: Running requests get their final answer.
+        ends_at: The process exits.
     """
 
     begun_at: float
@@ -59,22 +60,22 @@
     answers_until: float
     ends_at: float
 
-    def admits(self, received: float, until: float) -> bool:
-        """Whether a request can be taken that has its answer by a given time.
+    def admits(self, received_at: float, deadline: float) -> bool:
+        """Return whether a request can be accepted.
 
         Args:
-            received: When the request came.
-            until: When it has its final answer at the latest.
+            received_at: Loop time at which the request was received.
+            deadline: Loop time by which it has its final answer.
         """
-        return received <= self.accepts_until or until <= self.answers_until
+        return received_at <= self.accepts_until or deadline <= self.answers_until
 
 
 def plan_shutdown(begun_at: float, grace: float) -> Shutdown:
-    """Return the moments of a stop.
+    """Return the schedule of a shutdown.
 
     Args:
-        begun_at: Loop time of the signal.
-        grace: Seconds from the signal to the kill.
+        begun_at: Loop time of the signal to stop.
+        grace: Seconds between the signal and the kill.
     """
     killed_at = begun_at + grace
     scale = min(1.0, grace / REFERENCE_GRACE_SECONDS)
--- a/packages/fleet/src/ibisport_fleet/store_contact.py
+++ b/packages/fleet/src/ibisport_fleet/store_contact.py
@@ -1,23 +1,23 @@
-"""When the store answered, and what its outages mean for entries that are missing."""
+"""Tracks store outages, after which missing entries may belong to live targets."""
 
 from ibisport_fleet.targets import RETURN_GRACE_SECONDS
 
-# Entries live for 3.6 s and are renewed every 1.2 s: an outage shorter than the
-# difference makes none lapse. A watch that waits may have begun 1.5 s before.
+# Leases of entries last 3.6 s and are renewed every 1.2 s, so an outage shorter than
+# the difference expires none. A waiting watch may have started 1.5 s earlier.
 MIN_OUTAGE_SECONDS = 2.2
 
 
 class StoreContact:
-    """The store's answers to all calls of this process.
+    """Tracks the store's answers to all calls of this process.
 
-    An entry lapses after three heartbeats, so only an outage of some seconds can
-    make a living target's entry go. A watch that was merely cut, or whose history
-    was dropped, is no outage: what is missing then is gone.
+    An entry expires after three missed heartbeats, so only an outage of several
+    seconds can remove a live target's entry. A watch whose connection broke or whose
+    history was compacted isn't an outage: entries missing afterwards are deleted.
 
     Attributes:
-        doubtful_until: Loop time until which missing entries may come back. It is
-            set once when an outage ends, so that a target that leaves soon after
-            isn't kept any longer.
+        doubtful_until: Loop time until which missing entries may reappear. Set once
+            when an outage ends, so that a target that leaves soon afterwards isn't
+            retained any longer.
     """
 
     def __init__(self, now: float) -> None:
@@ -25,9 +25,9 @@
         self._last_answer = now
 
     def record_answer(self, now: float) -> float:
-        """Note an answer; return the seconds since the one before."""
-        away = now - self._last_answer
+        """Record an answer and return the seconds since the previous answer."""
+        elapsed_seconds = now - self._last_answer
         self._last_answer = now
-        if away >= MIN_OUTAGE_SECONDS:
+        if elapsed_seconds >= MIN_OUTAGE_SECONDS:
             self.doubtful_until = now + RETURN_GRACE_SECONDS
-        return away
+        return elapsed_seconds
