--- /dev/null
+++ b/packages/fleet/src/ibisport_fleet/host_record.py
@@ -0,0 +1,66 @@
+"""The store record in which a router's process publishes bounds of its spending.
+
+Only one process writes the record, so frequent writes don't conflict. Its bounds
+are lower than the host's caps in the budget page. After a crash, the next process
+counts only these bounds as spent if it has proof that its predecessor respected
+them.
+"""
+
+from dataclasses import dataclass, field
+
+import msgspec
+
+from ibisport_fleet.errors import RecordInvalid
+
+RECORD_PREFIX = 'ibisport/host/'
+
+
+@dataclass(frozen=True, slots=True)
+class HostRecord:
+    """Bounds of the spending of one process.
+
+    Attributes:
+        incarnation: Identifier of the process.
+        sequence: Sequence number of the write.
+        final: Whether the process serves no more requests; the caps are then the
+            amounts spent.
+        caps: Bounds of the spending while the contact proof is valid, in tokens by
+            workspace name.
+        boot_id: Identifier of the machine's boot, which the next two times refer to.
+        written_at: Boot-clock time of the write.
+        bound_until: Boot-clock time until which the process is guaranteed to respect
+            these caps.
+    """
+
+    incarnation: str
+    sequence: int = 0
+    final: bool = False
+    caps: dict[str, int] = field(default_factory=dict)
+    boot_id: str = ''
+    written_at: float = 0.0
+    bound_until: float = 0.0
+
+
+_DECODER = msgspec.json.Decoder(HostRecord)
+
+
+def build_record_key(host: str) -> str:
+    """Return the store key of a host's record."""
+    return f'{RECORD_PREFIX}{host}'
+
+
+def encode_record(record: HostRecord) -> bytes:
+    """Encode a record for the store."""
+    return msgspec.json.encode(record)
+
+
+def decode_record(content: bytes) -> HostRecord:
+    """Decode a record from the store.
+
+    Raises:
+        RecordInvalid: The content is not a valid host record.
+    """
+    try:
+        return _DECODER.decode(content)
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise RecordInvalid(f'host record: {error!r}') from error
