--- a/features/steps/running_fleet.py
+++ b/features/steps/running_fleet.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: routers and targets that crash, on one network in virtual time."""
+"""Shared fixtures: routers and crashing targets on one network in virtual time."""
 
 import asyncio
 import os
@@ -17,8 +17,8 @@
     OK,
     STREAM_HEAD,
     Caller,
+    encode_event,
     make_route,
-    write_event,
 )
 
 from ibisport_bench.standins.memorystore import MemoryService
@@ -40,37 +40,37 @@
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.headers import PlatformDialect
 
-# A request with this body ends the target that runs it, so long after it begins.
+# A request with this body crashes the target that runs it, this long after its start.
 FATAL = b'fatal'
-FATAL_AFTER_S = 0.09
+FATAL_AFTER_SECONDS = 0.09
 SEAL = b'Response-Seal: s\r\n'
 REJECTED = (
     b'HTTP/1.1 503 Full\r\nAttempt-Id: {id}\r\nNot-Executed: 1\r\n'
     b'Response-Seal: s\r\nContent-Length: 0\r\n\r\n'
 )
-# A stream that is asked for with this body takes so many times as long.
+# A stream that is requested with this body takes this many times as long.
 SLOW = b'slow'
-SLOWNESS = 10
-PLAIN_S = 0.05
+SLOW_FACTOR = 10
+PLAIN_ANSWER_SECONDS = 0.05
 EVENTS = 8
-EVENT_PAUSE_S = 0.05
-# A target that crashed is back after this, under a new id; its former entry goes
-# after three heartbeats.
-BACK_S = 4.0
-LAPSES_S = 3.6
-SERVES_ON_S = 3.0
+EVENT_INTERVAL_SECONDS = 0.05
+# A crashed target restarts after this time under a new id; its old entry lapses after
+# three heartbeats.
+RESTART_SECONDS = 4.0
+ENTRY_LAPSE_SECONDS = 3.6
+DRAIN_SECONDS = 3.0
 START_SECONDS = 12.0
-LONGEST_PLAY_S = 300.0
+MAX_RUN_SECONDS = 300.0
 TARGET_PREFIX = 'servers/'
 CATALOGUE_KEY = 'op/config'
-# After so long without trouble a router must know what the others know.
+# Without faults for this long, a router must know what the other routers know.
 CONVERGENCE_SECONDS = 3.0
 
 CATALOGUE = Catalogue(
     version=1,
     revision=2,
     routes=tuple(
-        make_route(kind.value, kind, most_targets=3, resumable=True)
+        make_route(kind.value, kind, max_targets=3, resumable=True)
         for kind in RouteKind
     ),
     services={'svc': Service('svc', 100, None)},
@@ -82,11 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request as it reached a target.
+    """A request that reached a target.
 
     Attributes:
         at: Loop time, seconds.
-        router: Host that sent it.
+        router: Host of the router that sent it.
         target: The target's incarnation.
         name: The request's id.
         body: Its body.
@@ -100,13 +100,13 @@
 
 
 class FleetTarget:
-    """One target on a host of its own; it crashes and comes back under a new id.
+    """A target on its own host that crashes and restarts under a new id.
 
     Attributes:
         host: Name of its host.
-        incarnation: Its present id.
-        rate: Requests a second that its answers name as its limit, or None.
-        rejects: It rejects what comes.
+        incarnation: Its current id.
+        rate: Rate limit in its answers, in requests per second, or None.
+        rejects: Whether it rejects every request.
     """
 
     def __init__(self, fleet, number):
@@ -123,7 +123,7 @@
         self._channels = WeakSet()
 
     async def start(self):
-        """Listen under a new id, and register it."""
+        """Listen under a new id and register it."""
         self._starts += 1
         self.incarnation = f'i-{self._number}-{self._starts}'
         address = (f'10.1.0.{self._number}', 8_000)
@@ -135,29 +135,29 @@
         self._register()
 
     def crash(self):
-        """End at once, and be back later."""
-        former = self.incarnation
-        self._fleet.ends.append((self._net.time(), former))
+        """Crash at once and restart later."""
+        old_incarnation = self.incarnation
+        self._fleet.ends.append((self._net.time(), old_incarnation))
         self._net.kill(self.host)
-        key = TARGET_PREFIX + former
-        self._net.call_later(LAPSES_S, self._fleet.service.remove, key)
-        self._net.call_later(BACK_S, self._return)
+        key = TARGET_PREFIX + old_incarnation
+        self._net.call_later(ENTRY_LAPSE_SECONDS, self._fleet.service.remove, key)
+        self._net.call_later(RESTART_SECONDS, self._restart)
 
     async def leave(self):
-        """Drain, serve on for a while, end, and be back later."""
+        """Drain while serving for some seconds, stop, and restart later."""
         self._entry = replace(self._entry, draining=True)
         self._register()
-        await asyncio.sleep(SERVES_ON_S)
+        await asyncio.sleep(DRAIN_SECONDS)
         self._net.kill(self.host)
         self._fleet.service.remove(TARGET_PREFIX + self.incarnation)
-        self._net.call_later(BACK_S, self._return)
+        self._net.call_later(RESTART_SECONDS, self._restart)
 
     def reset(self):
-        """Break all connections, and go on."""
+        """Reset all connections without stopping."""
         for channel in tuple(self._channels):
             channel.abort()
 
-    def _return(self):
+    def _restart(self):
         self._net.start_on(self.host, self.start())
 
     def _register(self):
@@ -174,13 +174,13 @@
         reader = RequestReader(channel, Limits())
         try:
             while (request := await reader.read()) is not None:
-                self._note(request)
+                self._record_arrival(request)
                 await self._answer(request, channel)
         except FleetError:
-            # The router reset the connection: nothing is left to answer.
+            # The router reset the connection, so no answer can be sent.
             return
 
-    def _note(self, request):
+    def _record_arrival(self, request):
         find = request.find
         arrival = Arrival(
             self._net.time(),
@@ -192,7 +192,7 @@
         self._fleet.arrivals.append(arrival)
 
     def _make_head(self, template, request):
-        """Return a head that names the request and the limit, if there is one."""
+        """Return a head with the request's id and the rate limit, if there is one."""
         head = template.replace(b'{id}', request.find(b'attempt-id'))
         if self.rate is None:
             return head
@@ -206,24 +206,24 @@
             return
         if request.body.startswith(FATAL):
             channel.write(self._make_head(STREAM_HEAD, request))
-            await asyncio.sleep(FATAL_AFTER_S)
+            await asyncio.sleep(FATAL_AFTER_SECONDS)
             self.crash()
             return
         if request.body != SLOW and not request.target.startswith(b'/stream/'):
-            await asyncio.sleep(PLAIN_S)
+            await asyncio.sleep(PLAIN_ANSWER_SECONDS)
             head = self._make_head(OK, request)
             channel.write(head + b'Content-Length: 1\r\n\r\nx')
             return
         channel.write(self._make_head(STREAM_HEAD, request))
-        slowness = SLOWNESS if request.body == SLOW else 1
+        factor = SLOW_FACTOR if request.body == SLOW else 1
         for number in range(1, EVENTS + 1):
-            await asyncio.sleep(EVENT_PAUSE_S * slowness)
-            channel.write(write_event(number))
+            await asyncio.sleep(EVENT_INTERVAL_SECONDS * factor)
+            channel.write(encode_event(number))
         channel.write(END)
 
 
 class FleetRouter:
-    """One router on a host of its own, which can be killed and started again."""
+    """A router on its own host that can be killed and restarted."""
 
     def __init__(self, fleet, number):
         self.host = f'router-{number}'
@@ -238,13 +238,13 @@
         self._process = net.start_on(self.host, self._run())
 
     def kill(self):
-        """End the process without a word."""
+        """Kill the process without a shutdown."""
         self._fleet.net.kill(self.host)
         self.router = None
 
     @property
     def ready(self):
-        """Whether callers may come."""
+        """Whether the router is ready for callers."""
         return self.router is not None and self.router.is_ready()
 
     async def _run(self):
@@ -278,14 +278,14 @@
 
 
 class _MarkedDialect(PlatformDialect):
-    """Names the router to the targets, so that they see who sends."""
+    """Adds a header that names the sending router to targets."""
 
     def __init__(self, host):
-        self._mark = (b'x-router', host.encode())
+        self._sender_header = (b'x-router', host.encode())
 
     def encode_send(self, request, call, terms):
         """Return the headers for a target."""
-        return (*super().encode_send(request, call, terms), self._mark)
+        return (*super().encode_send(request, call, terms), self._sender_header)
 
 
 class Fleet:
@@ -297,9 +297,9 @@
         routers: Each on its host.
         targets: Each on its host.
         arrivals: All requests that reached targets.
-        ends: When which incarnation of a target crashed.
-        answers: Bodies of requests with what their callers got.
-        told: When an incarnation first named a limit to a router.
+        ends: Loop time and incarnation of each crash of a target.
+        answers: Bodies of requests with the answers to them.
+        told: Loop time at which an incarnation first named a limit to a router.
     """
 
     def __init__(self, net, routers, targets):
@@ -310,9 +310,9 @@
         self.ends = []
         self.answers = []
         self.told = {}
-        self.routers = [FleetRouter(self, one + 1) for one in range(routers)]
-        self.targets = [FleetTarget(self, one + 1) for one in range(targets)]
-        self._names = 0
+        self.routers = [FleetRouter(self, number + 1) for number in range(routers)]
+        self.targets = [FleetTarget(self, number + 1) for number in range(targets)]
+        self._request_count = 0
 
     @property
     def now(self):
@@ -320,7 +320,7 @@
         return self.net.time()
 
     async def start(self):
-        """Start everything, and wait until all routers are ready."""
+        """Start all processes and wait until all routers are ready."""
         self.service.put(CATALOGUE_KEY, b'')
         for target in self.targets:
             await self.net.start_on(target.host, target.start())
@@ -329,36 +329,36 @@
         await asyncio.sleep(START_SECONDS)
         assert all(router.ready for router in self.routers)
 
-    def call(self, work):
-        """Start a caller's work on the callers' host."""
-        return self.net.start_on(CALLER, work)
+    def call(self, coroutine):
+        """Start a coroutine on the callers' host."""
+        return self.net.start_on(CALLER, coroutine)
 
     async def press(self, pause, seconds, body, kind='stream'):
-        """Send a request again and again, at each router in turn.
+        """Send requests at a fixed rate, to each router in turn.
 
         Args:
-            pause: Seconds from one to the next.
-            seconds: How long.
-            body: Its body, or a function of the number that makes it.
-            kind: Its route.
+            pause: Seconds from one request to the next.
+            seconds: Duration.
+            body: Body of the requests, or a function that maps their number to it.
+            kind: Name of the route.
         """
         until = self.now + seconds
         number = 0
-        asks = []
+        requests = []
         while self.now < until:
             content = body if isinstance(body, bytes) else body(number)
             router = self.routers[number % len(self.routers)]
-            asks.append(self.call(self.ask(router, kind, content)))
+            requests.append(self.call(self.ask(router, kind, content)))
             number += 1
             await asyncio.sleep(pause)
-        await asyncio.wait(asks)
+        await asyncio.wait(requests)
 
     async def ask(self, router, kind, body):
-        """Ask one router, and note the answer."""
-        self._names += 1
+        """Send a request to one router and record the answer."""
+        self._request_count += 1
         request = (
             f'POST /{kind}/x HTTP/1.1\r\nHost: h.example\r\n'
-            f'Attempt-Id: n{self._names}\r\nAuthorization: Bearer {KEY}\r\n'
+            f'Attempt-Id: n{self._request_count}\r\nAuthorization: Bearer {KEY}\r\n'
             f'Content-Length: {len(body)}\r\n\r\n'
         ).encode()
         caller = Caller(self, router.address)
@@ -368,12 +368,12 @@
 
 
 def run_fleet(act, routers=4, targets=6):
-    """Start a fleet, let it be acted on, and return it.
+    """Start a fleet, run a coroutine on it, and return it.
 
     Args:
-        act: Gets the running fleet.
-        routers: How many.
-        targets: How many.
+        act: Coroutine function that gets the running fleet.
+        routers: Number of routers.
+        targets: Number of targets.
     """
 
     async def play(net):
@@ -382,9 +382,9 @@
         clock = SimpleNamespace(
             clock_gettime=lambda clock_id: net.time(), CLOCK_BOOTTIME=0
         )
-        # Leases are reckoned by the machine's clock, which stands still here.
+        # Leases are computed from the machine's clock, which virtual time doesn't move.
         with mock.patch('ibisport_fleet.clocks.time', clock):
-            async with asyncio.timeout(LONGEST_PLAY_S):
+            async with asyncio.timeout(MAX_RUN_SECONDS):
                 await fleet.start()
                 await act(fleet)
         return fleet
--- a/features/steps/running_router.py
+++ b/features/steps/running_router.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a whole router process in virtual time, its targets and callers."""
+"""Shared fixtures: a router process in virtual time with its target and callers."""
 
 import asyncio
 import os
@@ -27,23 +27,23 @@
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.headers import PlatformDialect
 
-# What the deployment promises: the process is killed so long after the signal.
+# The deployment kills the process this long after the stop signal.
 GRACE_SECONDS = 8.0
-# Longer than any idle time-out or lease: the router runs as it does on every day.
-SIGNAL_AT_S = 20.0
-LONGEST_PLAY_S = 60.0
+# Longer than any idle timeout or lease, so that the router is in its steady state.
+SIGNAL_AT_SECONDS = 20.0
+MAX_RUN_SECONDS = 60.0
 CALLERS = ('10.0.0.1', 80)
 READINESS = ('10.0.0.1', 81)
 ROUTER = 'router'
 CALLER = 'caller'
 KEY = 'key-of-acme'
 TIME_LIMIT_SECONDS = 15.0
-# A target's head and first event come so long after the request.
-FIRST_S = 0.1
-# Longer than a way there and back: a connection that ends later than this after a
-# request was sent had brought it to the router.
+# Time from a request to the head and first event of the target's answer.
+FIRST_BYTE_SECONDS = 0.1
+# Longer than a round trip: if a connection closes later than this after a request was
+# sent, the request had reached the router.
 ROUND_TRIP_SECONDS = 0.01
-# When what runs before the signal is sent, in seconds after it.
+# Send time of requests that run before the signal, in seconds after the signal.
 BEFORE_SIGNAL_SECONDS = -0.5
 LATE_DEADLINE = 'Deadline-Ms: 1500\r\n'
 
@@ -54,41 +54,43 @@
 END = b'0\r\n\r\n'
 
 
-def write_event(number):
-    """Return an event of a stream in its chunk."""
+def encode_event(number):
+    """Return an event of a stream, encoded as a chunk."""
     text = b'id: %d\ndata: d%d\n\n' % (number, number)
     return b'%x\r\n%b\r\n' % (len(text), text)
 
 
 def make_stream(seconds):
-    """Return the reply that takes so long until its last byte."""
-    count = max(1, round(seconds / FIRST_S) - 2)
-    events = [write_event(number) for number in range(1, count + 1)]
+    """Return a stream whose last byte is sent after the given seconds."""
+    count = max(1, round(seconds / FIRST_BYTE_SECONDS) - 2)
+    events = [encode_event(number) for number in range(1, count + 1)]
     pieces = [STREAM_HEAD, *events, END]
     return Reply(pieces, pause=seconds / len(pieces))
 
 
 def make_plain(size=5):
-    """Return the reply of one whole answer."""
-    return Reply([OK + b'Content-Length: %d\r\n\r\n' % size + b'x' * size], FIRST_S)
+    """Return a complete answer with a body of the given size."""
+    return Reply(
+        [OK + b'Content-Length: %d\r\n\r\n' % size + b'x' * size], FIRST_BYTE_SECONDS
+    )
 
 
 def make_burst(size):
-    """Return the reply of a stream whose only event is long and comes at once."""
+    """Return a stream whose only event has the given size and is sent at once."""
     event = b'id: 1\ndata: ' + b'x' * size + b'\n\n'
     chunk = b'%x\r\n%b\r\n' % (len(event), event)
-    return Reply([STREAM_HEAD + chunk + END], FIRST_S)
+    return Reply([STREAM_HEAD + chunk + END], FIRST_BYTE_SECONDS)
 
 
 def make_silence():
-    """Return the reply of a target that never gives a byte."""
-    return Reply([b''], pause=LONGEST_PLAY_S)
+    """Return the reply of a target that never sends a byte."""
+    return Reply([b''], pause=MAX_RUN_SECONDS)
 
 
 def make_route(
-    name, kind, most_targets=1, *, resumable=False, time_limit=TIME_LIMIT_SECONDS
+    name, kind, max_targets=1, *, resumable=False, time_limit=TIME_LIMIT_SECONDS
 ):
-    """Return a route to the only service, below the path of its name."""
+    """Return a route to the only service, with its name as the path prefix."""
     return Route(
         name=name,
         host='h.example',
@@ -98,7 +100,7 @@
         time_limit=time_limit,
         objective=0.5,
         rank=1,
-        max_targets=most_targets,
+        max_targets=max_targets,
         public=False,
         resumable=resumable,
     )
@@ -117,7 +119,7 @@
 
 
 def encode_request(kind, name, extra=''):
-    """Return the bytes of a request; its name is its id."""
+    """Return the bytes of a request with the name as its id."""
     return (
         f'POST /{kind}/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {name}\r\n'
         f'Authorization: Bearer {KEY}\r\n{extra}Content-Length: 2\r\n\r\nab'
@@ -126,17 +128,17 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller saw of one request.
+    """The answer to one request as its caller received it.
 
     Attributes:
         sent_at: Seconds after the signal at which its last byte was sent.
         status: The final status, or None.
-        headers: The answer's, names in lower case.
-        size: Bytes of the body that have come.
-        whole: The answer came to its end.
-        ended_at: Seconds after the signal at which it was whole, or cut.
-        refused: No connection stood.
-        failure: What the connection broke with, if not with a plain end.
+        headers: Headers of the answer, names in lower case.
+        size: Number of received bytes of the body.
+        whole: Whether the answer is complete.
+        ended_at: Seconds after the signal at which it was complete or broke off.
+        refused: Whether the connection was refused.
+        failure: Error that broke the connection, or None if it was closed normally.
     """
 
     sent_at: float
@@ -150,7 +152,7 @@
 
 
 class _AnswerParser:
-    """Notes what has come of an answer."""
+    """Parses an answer into an ``Answer``."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -170,7 +172,7 @@
 
 
 class Caller:
-    """A caller with one connection, which it uses as long as it stands."""
+    """A caller that keeps one connection open and reuses it."""
 
     def __init__(self, site, address=CALLERS):
         self._site = site
@@ -178,12 +180,12 @@
         self._reader = self._writer = None
 
     async def ask(self, request, rest=b'', rest_at=0.0):
-        """Send a request on the kept connection, or on a new one, and wait.
+        """Send a request on the open or a new connection, and return the answer.
 
         Args:
-            request: Its bytes, or the first ones.
-            rest: The other ones.
-            rest_at: When these are sent, in seconds after the signal.
+            request: Bytes of the request, or its first part.
+            rest: The remaining bytes.
+            rest_at: When the rest is sent, in seconds after the signal.
         """
         answer = Answer(self._site.now)
         try:
@@ -204,7 +206,7 @@
         return answer
 
     async def _connect(self):
-        # A client looks whether its kept connection has ended before it sends.
+        # Clients check whether their open connection was closed before they reuse it.
         if self._reader is None or self._reader.at_eof():
             self._reader, self._writer = await asyncio.open_connection(*self._address)
 
@@ -222,10 +224,10 @@
 
     Attributes:
         net: The network; its links may be changed.
-        target: The only target; its replies are in the order of the requests.
+        target: The only target; it replies in the order of the requests.
         service: The store.
-        ended_at: Seconds after the signal at which the process had ended by itself.
-        killed: It was still there at the end of the grace time.
+        ended_at: Seconds after the signal at which the process ended by itself.
+        killed: Whether the process was killed at the end of the grace period.
     """
 
     def __init__(self, net, replies, catalogue=CATALOGUE):
@@ -241,20 +243,21 @@
     @property
     def now(self):
         """Seconds since the signal; negative before it."""
-        return self.net.time() - SIGNAL_AT_S
+        return self.net.time() - SIGNAL_AT_SECONDS
 
     async def wait_until(self, seconds):
-        """Wait until so many seconds after the signal."""
+        """Wait until the given seconds after the signal."""
         await asyncio.sleep(max(0.0, seconds - self.now))
 
     def has_got(self, name):
-        """Whether the target saw a request."""
+        """Whether the target received a request."""
         return any(
-            one.find(b'attempt-id') == name.encode() for one in self.target.requests
+            request.find(b'attempt-id') == name.encode()
+            for request in self.target.requests
         )
 
     async def start(self):
-        """Start all, and wait until the balancer is told that callers may come."""
+        """Start all processes and wait until the router reports itself as ready."""
         await self.net.start_on('target', self.target.start())
         self.service.put('servers/i-0', b'')
         self.service.put('op/config', b'')
@@ -264,22 +267,22 @@
 
     @property
     def failed(self):
-        """Whether the process says that a part of it failed."""
+        """Whether the router reports that a background task failed."""
         return self._router.failed
 
     def fail_task(self):
-        """Let the task that lists the other routers fail at its next turn."""
-        self._store.scan = mock.AsyncMock(side_effect=RuntimeError('a fault of ours'))
+        """Make the task that lists the other routers fail at its next call."""
+        self._store.scan = mock.AsyncMock(side_effect=RuntimeError('injected failure'))
 
-    def call(self, work):
-        """Start a caller's work on the callers' host."""
-        return self.net.start_on(CALLER, work)
+    def call(self, coroutine):
+        """Start a coroutine on the callers' host."""
+        return self.net.start_on(CALLER, coroutine)
 
     async def stop(self, stands_still):
-        """Send the signal at its time, and kill the process when the grace ends.
+        """Stop the router at the signal's time, and kill it after the grace period.
 
         Args:
-            stands_still: Seconds in which the process can't take the signal.
+            stands_still: Seconds during which the process can't handle the signal.
         """
         await self.wait_until(0.0)
         self.net.stand_still(stands_still)
@@ -328,19 +331,19 @@
         return answer.startswith(b'HTTP/1.1 200 ')
 
 
-def send_on_new_connection(site, *words):
-    """Let a caller with a connection of its own ask; see ``Caller.ask``."""
-    return site.call(Caller(site).ask(*words))
+def send_on_new_connection(site, *arguments):
+    """Send a request on a connection of its own; see ``Caller.ask``."""
+    return site.call(Caller(site).ask(*arguments))
 
 
 def run_until_stopped(replies, act, catalogue=CATALOGUE, stands_still=0.0):
-    """Run a router, let callers act, stop it, and return it and what ``act`` returns.
+    """Run and stop a router beside ``act``; return it and the result of ``act``.
 
     Args:
-        replies: The target's, in the order of the requests that reach it.
-        act: Gets the running router; what it awaits ends by itself.
-        catalogue: What operators say.
-        stands_still: Seconds in which the process can't take the signal.
+        replies: Replies of the target, in the order of the requests that reach it.
+        act: Coroutine function that gets the running router.
+        catalogue: The catalogue in the store.
+        stands_still: Seconds during which the process can't handle the signal.
     """
 
     async def play(net):
@@ -349,9 +352,9 @@
             clock_gettime=lambda clock_id: net.time(), CLOCK_BOOTTIME=0
         )
         site = RunningRouter(net, replies, catalogue)
-        # The lease arithmetic reads the machine's clock, which stands still here.
+        # Leases are computed from the machine's clock, which virtual time doesn't move.
         with mock.patch('ibisport_fleet.clocks.time', clock):
-            async with asyncio.timeout(LONGEST_PLAY_S):
+            async with asyncio.timeout(MAX_RUN_SECONDS):
                 await site.start()
                 answers, _ = await asyncio.gather(act(site), site.stop(stands_still))
         return site, answers
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the way of a request: the shipped core between scripted peers."""
+"""Steps for serving requests: a router between scripted callers and targets."""
 
 import asyncio
 import os
@@ -37,23 +37,31 @@
 )
 
 
-def _event(number):
+def _encode_event(number):
     text = b'id: %d\ndata: d%d\n\n' % (number, number)
     return b'%x\r\n%b\r\n' % (len(text), text)
 
 
 END = b'0\r\n\r\n'
-# Longer than the guard below: the stream doesn't end by itself while it is watched.
-SLOW_PIECES = 2_000
+# Enough for longer than the guard below: the stream doesn't end during the test.
+SLOW_PIECE_COUNT = 2_000
 GUARD_SECONDS = 20.0
 # Pieces, 20 ms apart, that the target may write before its run is cancelled.
-MOST_PIECES = 22
+MAX_PIECES = 22
 REPLIES = {
-    'whole stream': Reply([STREAM, _event(1), _event(2), _event(3), END]),
-    'broken stream': Reply([STREAM, _event(1), b'8\r\nid: 2\nda'], resets=True),
-    'rest of the stream': Reply([STREAM, _event(2), _event(3), END]),
+    'whole stream': Reply(
+        [STREAM, _encode_event(1), _encode_event(2), _encode_event(3), END]
+    ),
+    'broken stream': Reply([STREAM, _encode_event(1), b'8\r\nid: 2\nda'], resets=True),
+    'rest of the stream': Reply([STREAM, _encode_event(2), _encode_event(3), END]),
     'slow stream': Reply(
-        [STREAM, _event(1), *(b'' for _ in range(SLOW_PIECES)), _event(2), END],
+        [
+            STREAM,
+            _encode_event(1),
+            *(b'' for _ in range(SLOW_PIECE_COUNT)),
+            _encode_event(2),
+            END,
+        ],
         pause=0.02,
     ),
     'truncated': Reply([OK + SEAL + b'Content-Length: 50\r\n\r\nhel'], ends=True),
@@ -67,9 +75,9 @@
 }
 
 
-def _route(name, kind, most_targets, resumable=False, time_limit=6.0):
+def _make_route(name, kind, max_targets, resumable=False, time_limit=6.0):
     return make_route(
-        name, kind, most_targets, resumable=resumable, time_limit=time_limit
+        name, kind, max_targets, resumable=resumable, time_limit=time_limit
     )
 
 
@@ -77,11 +85,11 @@
     version=1,
     revision=2,
     routes=(
-        _route('stream', RouteKind.stream, 2, resumable=True),
-        _route('once', RouteKind.stream, 1),
-        _route('idempotent', RouteKind.idempotent, 2),
-        _route('plain-once', RouteKind.once, 1),
-        _route('hasty', RouteKind.idempotent, 1, time_limit=0.2),
+        _make_route('stream', RouteKind.stream, 2, resumable=True),
+        _make_route('once', RouteKind.stream, 1),
+        _make_route('idempotent', RouteKind.idempotent, 2),
+        _make_route('plain-once', RouteKind.once, 1),
+        _make_route('hasty', RouteKind.idempotent, 1, time_limit=0.2),
     ),
     services={'svc': Service('svc', 10, None)},
     workspaces={'acme': Workspace('acme', 1, None)},
@@ -94,7 +102,7 @@
 
 
 class Site:
-    """One router between a caller and scripted targets."""
+    """A router between a caller and scripted targets."""
 
     def __init__(self, names, catalogue=CATALOGUE):
         self.targets = [ScriptedTarget([REPLIES[name]]) for name in names]
@@ -102,7 +110,7 @@
         self.order = {}
 
     async def start(self):
-        """Start the peers and the router, and wait until it is ready."""
+        """Start the targets and the router, and wait until it is ready."""
         self.service = service = MemoryService()
         for number, target in enumerate(self.targets):
             await target.start()
@@ -135,7 +143,7 @@
 
     def _build_entry(self, item):
         number = int(item.key.rpartition('-')[2])
-        # Earlier targets are preferred: they seem to have more room.
+        # Earlier targets are preferred, since they report more slots.
         slots = 1_000 // (number + 1)
         address = self.targets[number].address
         return TargetEntry(
@@ -156,8 +164,8 @@
     )
 
 
-async def _talk(site, request, leave_after=None):
-    """Send bytes and return all that comes back."""
+async def _send_and_read(site, request, disconnect_after=None):
+    """Send bytes and return all bytes of the answer."""
     reader, writer = await asyncio.open_connection(*site.address)
     writer.write(request)
     answer = b''
@@ -165,16 +173,16 @@
         async with asyncio.timeout(3):
             while data := await reader.read(65_536):
                 answer += data
-                if leave_after is not None and leave_after in answer:
+                if disconnect_after is not None and disconnect_after in answer:
                     break
     except (ConnectionError, TimeoutError):
-        # A reset answer is judged by what came before.
+        # The checks also see the bytes that arrived before a reset.
         answer += b'|reset'
     writer.close()
     return answer
 
 
-def _request(route, key=KEY, method='POST', extra=''):
+def _encode_request(route, key=KEY, method='POST', extra=''):
     return (
         f'{method} /{route}/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\n'
         f'Deadline-Ms: 3000\r\nAuthorization: Bearer {key}\r\n'
@@ -183,10 +191,13 @@
     ).encode()
 
 
-def _play(site, *requests, leave_after=None, until=None):
+def _run(site, *requests, disconnect_after=None, until=None):
     async def run():
         await site.start()
-        answers = [await _talk(site, one, leave_after) for one in requests]
+        answers = [
+            await _send_and_read(site, request, disconnect_after)
+            for request in requests
+        ]
         if until is not None:
             await _wait_until(until)
         site.task.cancel()
@@ -196,7 +207,7 @@
 
 
 async def _wait_until(check):
-    """Wait for what must happen; the guard only keeps a fault from hanging."""
+    """Wait for a condition; the guard only keeps a failing test from hanging."""
     async with asyncio.timeout(GUARD_SECONDS):
         while not check():
             await asyncio.sleep(0.01)
@@ -212,40 +223,43 @@
     context.site = Site([name.strip() for name in names.split(',')], PREPAID)
 
 
-@given('a router that knows no catalogue')
-def make_blank_site(context):
+@given('a router without a catalogue')
+def make_site_without_catalogue(context):
     context.site = Site(['whole answer'], catalogue=None)
 
 
 @when('a caller sends a streaming request')
 def send_stream(context):
-    context.answers = _play(context.site, _request('stream'))
+    context.answers = _run(context.site, _encode_request('stream'))
 
 
 @when('a caller sends a streaming request to the route "{route}"')
 @when('a caller sends a plain request to the route "{route}"')
 def send_to(context, route):
-    context.answers = _play(context.site, _request(route))
+    context.answers = _run(context.site, _encode_request(route))
 
 
-@when('a caller sends a streaming request and leaves after the first event')
-def send_and_leave(context):
+@when('a caller sends a streaming request and disconnects after the first event')
+def send_and_disconnect(context):
     target = context.site.targets[0]
-    request = _request('stream')
-    _play(
-        context.site, request, leave_after=b'id: 1', until=lambda: target.cancelled > 0
+    request = _encode_request('stream')
+    _run(
+        context.site,
+        request,
+        disconnect_after=b'id: 1',
+        until=lambda: target.cancelled > 0,
     )
 
 
 @when('a caller sends requests with an unknown key and to an unknown route')
-def send_wrong(context):
-    wrong = _request('idempotent', key='nobody'), _request('nowhere')
-    context.answers = _play(context.site, *wrong)
+def send_unknown_key_and_route(context):
+    refused = _encode_request('idempotent', key='nobody'), _encode_request('nowhere')
+    context.answers = _run(context.site, *refused)
 
 
-@when('callers send {count:d} generated requests with doubtful framing')
-def send_doubtful(context, count):
-    doubtful = strategies.sampled_from(
+@when('callers send {count:d} generated requests with ambiguous framing')
+def send_ambiguous_framing(context, count):
+    ambiguous = strategies.sampled_from(
         (
             'Content-Length: 2\r\nTransfer-Encoding: chunked\r\n',
             'Transfer-Encoding: chunked\r\nContent-Length: 60\r\n',
@@ -278,7 +292,7 @@
             database=None,
             suppress_health_check=list(HealthCheck),
         )
-        @forall(doubtful, bodies)
+        @forall(ambiguous, bodies)
         def collect(header, body):
             head = (
                 'POST /idempotent/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\n'
@@ -287,7 +301,9 @@
             sent.append(head.encode() + body)
 
         collect()
-        await asyncio.gather(*(_talk(context.site, one, b'hello') for one in sent))
+        await asyncio.gather(
+            *(_send_and_read(context.site, content, b'hello') for content in sent)
+        )
         context.site.task.cancel()
 
     asyncio.run(run())
@@ -301,8 +317,8 @@
     assert answer.endswith(b'0\r\n\r\n'), answer
 
 
-@then("the target got the caller's words without the key, and the workspace's name")
-def check_words(context):
+@then("the target got the request without the key, and with the workspace's name")
+def check_forwarded_request(context):
     request = context.site.targets[0].requests[0]
     names = [name for name, _ in request.headers]
     assert request.find(b'tenant') == b'acme', request
@@ -311,13 +327,13 @@
     assert request.body == b'ab' and request.target == b'/stream/x'
 
 
-@then('the second target was told event {number:d}')
-def check_told(context, number):
+@then('the second target got the last event id {number:d}')
+def check_last_event_id(context, number):
     request = context.site.targets[1].requests[0]
     assert request.find(b'last-event-id') == b'%d' % number, request
 
 
-@then("the caller's answer doesn't end as complete")
+@then("the caller's answer isn't terminated as complete")
 def check_cut(context):
     assert not context.answers[0].endswith(b'0\r\n\r\n'), context.answers
 
@@ -342,8 +358,8 @@
     assert got == count, got
 
 
-@then('the caller gets {status:d} with a time to come back')
-def check_pause(context, status):
+@then('the caller gets {status:d} with a retry delay')
+def check_retry_after(context, status):
     answer = context.answers[0]
     assert answer.startswith(b'HTTP/1.1 %d ' % status), answer
     assert b'retry-after: ' in answer, answer
@@ -352,34 +368,35 @@
 @then("the target's run is cancelled")
 def check_cancelled(context):
     target = context.site.targets[0]
-    # By pieces and not by the clock: both ends run in one loop, however slow it is.
-    assert (target.cancelled, target.sent <= MOST_PIECES) == (1, True), target.sent
+    # Counted in pieces and not in seconds: both ends share one event loop, so a slow
+    # machine delays both.
+    assert (target.cancelled, target.sent <= MAX_PIECES) == (1, True), target.sent
 
 
 @then('the caller gets {first:d} and {second:d}')
-def check_two(context, first, second):
+def check_statuses(context, first, second):
     got = [int(answer[9:12]) for answer in context.answers]
     assert got == [first, second], got
 
 
-@then('each target got only what the router itself had read as one request')
+@then('each target got only requests that the router had parsed')
 def check_not_smuggled(context):
     for request in context.site.targets[0].requests:
         assert request.target == b'/idempotent/x', request
         assert request.find(b'attempt-id') == b'a1', request
 
 
-@when('a caller sends half of a request, the router leaves, and the rest follows')
-def send_in_halves(context):
+@when('a caller sends part of a request, the router stops, and the rest follows')
+def send_in_parts(context):
     async def run():
         site = context.site
         await site.start()
-        request = _request('idempotent')
+        request = _encode_request('idempotent')
         reader, writer = await asyncio.open_connection(*site.address)
         writer.write(request[:-1])
         await asyncio.sleep(0.1)
         site.router.stop()
-        # Longer than the balancer's notice: idle connections are closed then.
+        # Longer than the listener stays open: idle connections are closed after that.
         await asyncio.sleep(LISTENING_SECONDS + 0.5)
         writer.write(request[-1:])
         answer = await reader.read()
@@ -394,9 +411,9 @@
     async def run():
         site = context.site
         await site.start()
-        # A write takes longer than the request may wait for it.
+        # A write of the store takes longer than the request may wait for it.
         site.service.faults.slow = 1_000.0
-        request = _request('idempotent', extra='Token-Usage: 90000,100\r\n')
+        request = _encode_request('idempotent', extra='Token-Usage: 90000,100\r\n')
         _, writer = await asyncio.open_connection(*site.address)
         writer.write(request)
         await _wait_until(lambda: site.router.in_flight)
@@ -407,6 +424,6 @@
     asyncio.run(run())
 
 
-@then('the router counts it among those that it ends before it leaves')
+@then('the router counts it as in flight')
 def check_in_flight(context):
     assert context.in_flight == 1, context.in_flight
--- a/packages/bench/src/ibisport_bench/soak/mutants.py
+++ b/packages/bench/src/ibisport_bench/soak/mutants.py
@@ -65,7 +65,7 @@
     async def leave(self: Router, moment: object) -> None:
         """Wait for nothing."""
 
-    for step in ('_stay_open', '_await_callers', '_end'):
+    for step in ('_keep_listening', '_wait_for_connections', '_finish_shutdown'):
         patch(Router, step, leave)
 
 
@@ -80,12 +80,12 @@
     def note_break(self: RequestForwarder, candidate: Candidate, reason: str) -> None:
         raise RequestFailed(UNAVAILABLE, reason)
 
-    patch(RequestForwarder, '_note_break', note_break)
+    patch(RequestForwarder, '_handle_unknown_outcome', note_break)
 
 
 def end_broken() -> None:
     """End a stream that broke off as if it were whole."""
-    patch(ResponseWriter, 'break_off', ResponseWriter.end_stream)
+    patch(ResponseWriter, 'abort', ResponseWriter.end_stream)
 
 
 def lend_without_end() -> None:
--- /dev/null
+++ b/packages/fleet/src/ibisport_fleet/call_handler.py
@@ -0,0 +1,217 @@
+"""Handles requests: admission, token reservation, forwarding and charging."""
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator
+
+from ibisport_fleet.admission import STOPPING_RETRY_AFTER_SECONDS, Refused, admit
+from ibisport_fleet.budgets import TokensUnavailable
+from ibisport_fleet.calls import Call, draw_jittered_delay
+from ibisport_fleet.errors import RequestInvalid
+from ibisport_fleet.forwarding import Dependencies, RequestFailed, RequestForwarder
+from ibisport_fleet.http_messages import Request
+from ibisport_fleet.prompt_mix import PromptMix
+from ibisport_fleet.response_writer import ResponseWriter
+from ibisport_fleet.retry_budget import RetryBudget
+from ibisport_fleet.settings import Bounds
+from ibisport_fleet.shutdown import Shutdown
+
+STATUS_PAYMENT_REQUIRED = 402
+STATUS_UNAVAILABLE = 503
+STATUS_TIMEOUT = 504
+
+
+class CallHandler:
+    """Handles callers' requests, one call of ``handle`` each.
+
+    Attributes:
+        in_flight: Number of received requests without a final answer.
+        process_ended: Whether the process ends now, with or without running requests.
+    """
+
+    def __init__(self, dependencies: Dependencies) -> None:
+        self._dependencies = dependencies
+        self._bounds = dependencies.settings.bounds
+        self._retry_budgets: dict[str, RetryBudget] = {}
+        self._prompt_mixes: dict[str, PromptMix] = {}
+        self._started = asyncio.get_running_loop().time()
+        self.in_flight = 0
+        self.process_ended = False
+        self._shutdown: Shutdown | None = None
+        self._received_at_by_timer: dict[asyncio.Timeout, float] = {}
+
+    async def handle(self, request: Request, response: ResponseWriter) -> None:
+        """Handle one request and return once its answer is written."""
+        # Requests that wait for tokens count as well; otherwise a stopping router ends
+        # before they are answered.
+        self.in_flight += 1
+        try:
+            await self._handle(request, response)
+        finally:
+            self.in_flight -= 1
+
+    async def _handle(self, request: Request, response: ResponseWriter) -> None:
+        dependencies = self._dependencies
+        try:
+            metadata = dependencies.dialect.decode_request(request)
+        except RequestInvalid as error:
+            response.refuse(error.status, 'invalid', None, None)
+            return
+        try:
+            call = admit(
+                request, metadata, dependencies.catalogue.current, self._shutdown
+            )
+        except Refused as refusal:
+            self._record_refusal(metadata.request_id, refusal)
+            response.refuse(
+                refusal.status, refusal.reason, metadata.request_id, refusal.retry_after
+            )
+            return
+        await self._serve_before_deadline(call, response)
+
+    async def _serve_before_deadline(
+        self, call: Call, response: ResponseWriter
+    ) -> None:
+        retry_budget = self.find_retry_budget(call.service)
+        prompt_mix = self._prompt_mixes.setdefault(call.service, PromptMix())
+        forwarder = RequestForwarder(
+            self._dependencies, retry_budget, prompt_mix, call, response
+        )
+        try:
+            async with self._limit_time(call):
+                await self._reserve_and_forward(call, forwarder)
+        except (TokensUnavailable, RequestFailed) as error:
+            self._answer_error(call, response, error)
+        except TimeoutError:
+            self._answer_failure(call, response, self._build_timeout_failure(call))
+        except asyncio.CancelledError:
+            self._record_interruption(call, forwarder.forwarded_events)
+            raise
+
+    async def _reserve_and_forward(
+        self, call: Call, forwarder: RequestForwarder
+    ) -> None:
+        forwarder.check_quarantine()
+        budgets = self._dependencies.budgets
+        reservation = await budgets.reserve(call.workspace, call.metadata.max_tokens)
+        try:
+            await forwarder.run()
+        finally:
+            reservation.spent = forwarder.count_tokens()
+            self._dependencies.recorder.record_charged(call, reservation.spent)
+            budgets.settle(reservation)
+
+    @contextlib.asynccontextmanager
+    async def _limit_time(self, call: Call) -> AsyncIterator[None]:
+        """Enforce a request's deadline, which a shutdown may bring forward."""
+        async with asyncio.timeout_at(call.deadline) as timer:
+            self._received_at_by_timer[timer] = call.request.received_at
+            try:
+                yield
+            finally:
+                self._received_at_by_timer.pop(timer)
+
+    def _build_timeout_failure(self, call: Call) -> RequestFailed:
+        status = STATUS_TIMEOUT if call.may_have_run else STATUS_UNAVAILABLE
+        shutdown = self._shutdown
+        now = asyncio.get_running_loop().time()
+        if shutdown is None or now < shutdown.answers_until:
+            return RequestFailed(status, 'timeout')
+        retry_after = (
+            None
+            if call.may_have_run
+            else draw_jittered_delay(STOPPING_RETRY_AFTER_SECONDS)
+        )
+        return RequestFailed(status, 'leaving', retry_after)
+
+    def _answer_error(
+        self,
+        call: Call,
+        response: ResponseWriter,
+        error: TokensUnavailable | RequestFailed,
+    ) -> None:
+        match error:
+            case TokensUnavailable():
+                self._refuse_for_budget(call, response, error)
+            case RequestFailed():
+                self._answer_failure(call, response, error)
+
+    def _refuse_for_budget(
+        self, call: Call, response: ResponseWriter, error: TokensUnavailable
+    ) -> None:
+        spent = error.retry_after is None
+        status = STATUS_PAYMENT_REQUIRED if spent else STATUS_UNAVAILABLE
+        self._dependencies.recorder.record_budget_refusal(call, status, error)
+        response.refuse(status, 'budget', call.metadata.request_id, error.retry_after)
+
+    def _answer_failure(
+        self, call: Call, response: ResponseWriter, failure: RequestFailed
+    ) -> None:
+        self._dependencies.recorder.record_failed(
+            call, failure.status, failure.reason, response.head_sent
+        )
+        if response.head_sent:
+            response.abort()
+            return
+        response.refuse(
+            failure.status,
+            failure.reason,
+            call.metadata.request_id,
+            failure.retry_after,
+        )
+
+    def _record_interruption(self, call: Call, events: int) -> None:
+        """Record that the caller disconnected, or that the process ended first."""
+        recorder = self._dependencies.recorder
+        if self.process_ended and self._shutdown is not None:
+            recorder.record_interrupted(call, events, self._shutdown.begun_at)
+        else:
+            recorder.record_caller_left(call, events)
+
+    def _record_refusal(self, request_id: str, refusal: Refused) -> None:
+        catalogue = self._dependencies.catalogue.current
+        version = None if catalogue is None else catalogue.version
+        self._dependencies.recorder.record_refused(
+            request_id, refusal.status, refusal.reason, version
+        )
+
+    def begin_shutdown(self, shutdown: Shutdown) -> None:
+        """Bring the deadlines of running requests forward to before the process ends.
+
+        Args:
+            shutdown: The planned stop.
+        """
+        self._shutdown = shutdown
+        now = asyncio.get_running_loop().time()
+        for timer in self._received_at_by_timer:
+            when = timer.when()
+            # An expired timer can't be rescheduled.
+            if when is not None and when > max(now, shutdown.answers_until):
+                timer.reschedule(shutdown.answers_until)
+
+    def serves_any_received_by(self, moment: float) -> bool:
+        """Whether a request that was received by a loop time is still running."""
+        return any(
+            received <= moment for received in self._received_at_by_timer.values()
+        )
+
+    def apply_bounds(self, bounds: Bounds) -> None:
+        """Apply changed settings; retry budgets restart with a new window."""
+        if bounds != self._bounds:
+            self._bounds = bounds
+            self._started = asyncio.get_running_loop().time()
+            self._retry_budgets.clear()
+
+    def find_retry_budget(self, service: str) -> RetryBudget:
+        """Return the retry budget of a service."""
+        found = self._retry_budgets.get(service)
+        if found is None:
+            bounds = self._bounds
+            found = RetryBudget(
+                bounds.retry_ratio,
+                bounds.retry_slack,
+                bounds.retry_window,
+                self._started,
+            )
+            self._retry_budgets[service] = found
+        return found
--- a/packages/fleet/src/ibisport_fleet/calls.py
+++ b/packages/fleet/src/ibisport_fleet/calls.py
@@ -1,4 +1,4 @@
-"""A request on its way through this router."""
+"""The state of a request while this router handles it."""
 
 import random
 from dataclasses import dataclass, field
@@ -11,38 +11,38 @@
 from ibisport_fleet.http_messages import Request
 from ibisport_fleet.metadata import RequestMetadata
 
-# Ranks of routes that are told apart within one rank of workspaces.
+# Route ranks that are distinguished within one workspace rank.
 ROUTE_RANKS = 3
 DIGEST_BYTES = 12
 
 
 @dataclass
 class Call:
-    """One request, what the catalogue says of it, and how far it has come.
+    """A request with its route and workspace, and the progress of its sends.
 
     Attributes:
-        request: As the caller sent it.
-        terms: What it says of itself.
-        route: The route that takes it.
-        service: The service that was drawn for it.
-        version: Version of the catalogue that the route is from.
-        workspace: The customer, or None on a public route.
-        until: Loop time at which it gets its final answer at the latest.
-        sends: Targets that may have run it.
-        tried: Starts of targets that it was sent to, or that can't be reached.
-        may_have_run: Some target may have run it.
-        target: Incarnation that it was last sent to, or None.
-        sent_at: Loop time of that send.
+        request: The request as received.
+        metadata: Decoded from the headers of the request.
+        route: The route that matches it.
+        service: The service that was selected for it.
+        version: Version of the catalogue that contains the route.
+        workspace: The caller's workspace, or None without one.
+        deadline: Loop time by which the final answer is due.
+        attempts: Number of sends that a target may have executed.
+        tried: Start ids of targets that got it, or that were unreachable.
+        may_have_run: Whether a target may have executed it.
+        target: Incarnation of the target of the last send, or None.
+        sent_at: Loop time of the last send.
     """
 
     request: Request
-    terms: RequestMetadata
+    metadata: RequestMetadata
     route: Route
     service: str
     version: int
     workspace: Workspace | None
-    until: float
-    sends: int = 0
+    deadline: float
+    attempts: int = 0
     tried: set[tuple[str, int]] = field(default_factory=set)
     may_have_run: bool = False
     target: str | None = None
@@ -50,37 +50,37 @@
 
     @cached_property
     def digest(self) -> str:
-        """Name what comes again if the caller repeats the request.
+        """Return a hash that is the same for every repetition of the request.
 
-        The same workspace, host, method, path, query and body give the same digest;
-        the request's id and its other headers don't count.
+        It covers the workspace, host, method, path, query and body, but neither the
+        request's id nor its other headers.
         """
-        owner = self.terms.key if self.workspace is None else self.workspace.name
+        owner = self.metadata.key if self.workspace is None else self.workspace.name
         request = self.request
-        head = (owner or '', self.terms.host, request.method)
-        hashed = blake2b(msgspec.json.encode(head), digest_size=DIGEST_BYTES)
-        hashed.update(request.target + b' ')
-        hashed.update(request.body)
-        return hashed.hexdigest()
+        identity = (owner or '', self.metadata.host, request.method)
+        hasher = blake2b(msgspec.json.encode(identity), digest_size=DIGEST_BYTES)
+        hasher.update(request.target + b' ')
+        hasher.update(request.body)
+        return hasher.hexdigest()
 
     @property
     def urgency(self) -> int:
-        """Return how urgent it is at a target; 0 is the most urgent.
+        """Return the priority of the request at a target; 0 is the most urgent.
 
-        A workspace's rank goes before the route's, which orders the requests of
-        workspaces of one rank: short questions before long reviews.
+        The workspace's rank takes precedence. The route's rank orders the requests of
+        workspaces of the same rank: short questions before long reviews.
         """
         if self.workspace is None or self.workspace.rank is None:
             return self.route.rank
         return self.workspace.rank * ROUTE_RANKS + min(self.route.rank, ROUTE_RANKS - 1)
 
-    def left(self, now: float) -> float:
-        """Return the seconds until the final answer is due."""
-        return self.until - now
+    def remaining_seconds(self, now: float) -> float:
+        """Return the seconds until the deadline."""
+        return self.deadline - now
 
 
 def draw_service(route: Route) -> str:
-    """Return one of a route's services, drawn by weight."""
+    """Return a random service of a route, selected by weight."""
     shares = route.shares
     if len(shares) == 1:
         return shares[0].service
@@ -89,9 +89,11 @@
 
 
 def draw_jittered_delay(base: float) -> float:
-    """Return a time to come back, spread so that refused callers don't return at once.
+    """Return a random delay between the base and twice the base.
+
+    The jitter keeps refused callers from retrying at the same moment.
 
     Args:
-        base: Least pause in seconds; the spread is as long again.
+        base: Minimum delay in seconds.
     """
     return base + random.random() * base
--- a/packages/fleet/src/ibisport_fleet/errors.py
+++ b/packages/fleet/src/ibisport_fleet/errors.py
@@ -1,12 +1,12 @@
-"""Every failure that the fleet's core can name."""
+"""Exceptions of the fleet's core."""
 
 
 class FleetError(Exception):
-    """Root of the failures of this package."""
+    """Base class of this package's exceptions."""
 
 
 class ConnectionFailed(FleetError):
-    """A connection could not be opened: nothing was sent on it."""
+    """A connection could not be opened, so nothing was sent."""
 
 
 class NobodyListens(ConnectionFailed):
@@ -14,15 +14,15 @@
 
 
 class ConnectionBroken(FleetError):
-    """An open connection ended or stayed silent: what was sent may have run."""
+    """An open connection broke or timed out: the request may have been executed."""
 
 
 class AnswerInvalid(ConnectionBroken):
-    """A peer sent bytes that are no complete answer in its protocol."""
+    """A peer's answer is malformed or incomplete."""
 
 
 class RequestInvalid(FleetError):
-    """A caller sent bytes that are no request.
+    """A caller's request is malformed or exceeds a limit.
 
     Attributes:
         status: The HTTP status to answer with.
@@ -38,24 +38,24 @@
 
 
 class StoreUnavailable(StoreError):
-    """The service refused the call: nothing was done."""
+    """The call was refused and not executed."""
 
 
 class StoreUnknown(StoreError):
-    """No answer came: the call may have been executed, or may be later."""
+    """No answer arrived: the call may have been executed, or may still be."""
 
 
 class HistoryLost(StoreError):
-    """The service no longer has the changes that a watch asked for."""
+    """The service has discarded the changes that a watch requested."""
 
 
 class ChangesTooLong(StoreError):
-    """The changes that a watch asked for are longer than a listing would be."""
+    """The changes that a watch requested are longer than a listing."""
 
 
 class RecordInvalid(FleetError):
-    """A value in the store, or the settings file, can't be read."""
+    """A value in the store, or the settings file, can't be decoded."""
 
 
 class PeerUnavailable(FleetError):
-    """Another router didn't answer: what it was asked for may have been done."""
+    """Another router didn't answer: it may have executed the request."""
--- a/packages/fleet/src/ibisport_fleet/forwarding.py
+++ b/packages/fleet/src/ibisport_fleet/forwarding.py
@@ -1,4 +1,4 @@
-"""The sends of one request, until some target has answered it whole."""
+"""Forwards a request to targets until one of them has answered completely."""
 
 import asyncio
 import math
@@ -14,164 +14,170 @@
 from ibisport_fleet.fleet_view import CatalogueView, TargetView
 from ibisport_fleet.metadata import Dialect
 from ibisport_fleet.prompt_mix import PromptMix
-from ibisport_fleet.recording import Recorder
+from ibisport_fleet.request_recorder import RequestRecorder
 from ibisport_fleet.response_writer import ResponseWriter
 from ibisport_fleet.retry_budget import RetryBudget
-from ibisport_fleet.sending import (
+from ibisport_fleet.settings import HostSettings
+from ibisport_fleet.sse import EventSplitter
+from ibisport_fleet.target_choice import Candidate, TargetHealth, choose_plain_target
+from ibisport_fleet.target_client import (
     FIRST_FAILURE_STATUS,
     Answered,
-    Broken,
     NotRun,
     NotSent,
-    Sender,
+    OutcomeUnknown,
+    TargetClient,
 )
-from ibisport_fleet.settings import HostSettings
-from ibisport_fleet.sse import EventCutter
-from ibisport_fleet.target_choice import Candidate, TargetHealth, choose_plain_target
 from ibisport_fleet.target_limits import TargetLimits
 
 STATUS_BAD_GATEWAY = 502
 STATUS_UNAVAILABLE = 503
-# Targets that reject or can't be reached before a request is given up: beyond
-# these few the service is full, and asking on only adds to its load.
-MOST_REJECTIONS = 3
-# A full service frees a slot within some 100 ms; the caller is told so.
-FULL_PAUSE_S = 0.25
-AWAY_PAUSE_S = 0.5
+# Targets that reject a request or are unreachable before it fails: by then the
+# service is full, and more attempts only add to its load.
+MAX_REJECTIONS = 3
+# A full service frees a slot within some 100 ms.
+FULL_RETRY_AFTER_SECONDS = 0.25
+NO_TARGET_RETRY_AFTER_SECONDS = 0.5
 
 
 class RequestFailed(Exception):
-    """A request gets its final answer from this router.
+    """A request fails, and this router writes its final answer.
 
     Attributes:
-        status: The HTTP status; 503 only where the request has not run.
-        reason: A word for logs and callers.
-        pause: When to come back, seconds; None says nothing.
+        status: The HTTP status; 503 only if the request was not executed.
+        reason: A short description for logs and callers.
+        retry_after: Seconds after which the caller may retry, or None to suggest none.
     """
 
-    def __init__(self, status: int, reason: str, pause: float | None = None) -> None:
+    def __init__(
+        self, status: int, reason: str, retry_after: float | None = None
+    ) -> None:
         super().__init__(reason)
         self.status = status
         self.reason = reason
-        self.pause = pause
+        self.retry_after = retry_after
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
-    """What the handling of a request needs.
+class Dependencies:
+    """Components that are shared by the handling of all requests.
 
     Attributes:
-        settings: Who this router is.
-        dialect: Translates headers.
-        catalogue: What operators say.
-        targets: What there is to send to.
-        sender: Sends to a target.
-        budgets: What workspaces may still spend.
-        recorder: Where decisions are written down.
-        fatal: Which requests are not sent, since targets end under them.
-        limits: How many requests targets take.
+        settings: The settings of this router.
+        dialect: Converts between headers and metadata.
+        catalogue: The current catalogue.
+        targets: The known targets.
+        target_client: Sends requests to targets.
+        budgets: The token budgets of workspaces.
+        recorder: Logs and counts decisions.
+        fatal_requests: Quarantine of requests that crash targets.
+        limits: The rate limits of targets.
     """
 
     settings: HostSettings
     dialect: Dialect
     catalogue: CatalogueView
     targets: TargetView
-    sender: Sender
+    target_client: TargetClient
     budgets: Budgets
-    recorder: Recorder
-    fatal: FatalRequests
+    recorder: RequestRecorder
+    fatal_requests: FatalRequests
     limits: TargetLimits
 
 
 class RequestForwarder:
-    """The sends of one request, one after the other, until it has its answer."""
+    """Sends one request to one target after another until it is answered."""
 
     def __init__(
         self,
-        parts: Parts,
-        retries: RetryBudget,
-        mix: PromptMix,
+        dependencies: Dependencies,
+        retry_budget: RetryBudget,
+        prompt_mix: PromptMix,
         call: Call,
-        replies: ResponseWriter,
+        response: ResponseWriter,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._call = call
-        self._replies = replies
-        self._retries = retries
-        self._mix = mix
-        self._cutter = EventCutter(call.terms.last_event_id)
+        self._response = response
+        self._retry_budget = retry_budget
+        self._prompt_mix = prompt_mix
+        self._splitter = EventSplitter(call.metadata.last_event_id)
         self._rejections = 0
-        self._unread = 0
-        self._reader: TargetHealth | None = None
+        self._uncached_tokens = 0
+        self._prefilling: TargetHealth | None = None
 
     @property
-    def events(self) -> int:
-        """Whole events of the answer that were passed on."""
-        return self._cutter.events
+    def forwarded_events(self) -> int:
+        """Number of complete events that were forwarded to the caller."""
+        return self._splitter.event_count
 
     async def run(self) -> None:
-        """Send until some target has answered whole.
+        """Send the request until a target has answered completely.
 
         Raises:
-            GivenUp: No target will.
+            RequestFailed: No target can answer it.
         """
-        self._retries.record_request(_now())
+        self._retry_budget.record_request(_now())
         while True:
             self.check_quarantine()
-            candidate = self._choose()
+            candidate = self._choose_target()
             candidate.health.begin_request(_now())
-            self._begin_reading(candidate.health)
+            self._begin_prefill(candidate.health)
             try:
-                if await self._try(candidate):
+                if await self._attempt(candidate):
                     return
             finally:
                 candidate.health.end_request()
-                self._end_reading()
+                self._end_prefill()
 
     def check_quarantine(self) -> None:
-        """Refuse a request under which targets end.
+        """Refuse a request that crashes targets.
 
         Raises:
-            GivenUp: Other ones may not be harmed by it.
+            RequestFailed: The request is quarantined to protect other targets.
         """
-        pause = self._parts.fatal.find_remaining_seconds(self._call.digest)
-        if pause is not None:
-            raise self._refuse('quarantined', pause)
+        retry_after = self._dependencies.fatal_requests.find_remaining_seconds(
+            self._call.digest
+        )
+        if retry_after is not None:
+            raise self._build_failure('quarantined', retry_after)
 
     def count_tokens(self) -> int:
-        """Return the tokens that the request has cost.
+        """Return the tokens to charge for the request.
 
-        The prompt is paid for with the first event that the caller gets, and once
-        for a stream that the caller takes up again after a broken connection.
-        Charging it whenever a target may have begun counted up to 0.15 of a budget
-        that nobody got anything for.
+        The prompt is charged with the first event that the caller gets, and only once
+        for a stream that the caller resumes after a broken connection. Charging it
+        whenever a target might have started spent up to 0.15 of a budget on requests
+        whose callers got nothing.
         """
-        terms = self._call.terms
-        events = self._cutter.events
-        if not events:
+        metadata = self._call.metadata
+        event_count = self._splitter.event_count
+        if not event_count:
             return 0
-        generated = min(terms.max_output_tokens, events * self._tokens_per_event())
-        resumed = terms.last_event_id is not None and self._call.route.resumable
-        return generated if resumed else terms.prompt_tokens + generated
-
-    def _begin_reading(self, health: TargetHealth) -> None:
-        """Count the prompt as unread at its target."""
-        parts = self._call.terms.parts
-        self._unread = health.count_uncached_tokens(parts, _now())
-        self._reader = health
-        prompt = sum(part.tokens for part in parts)
-        self._mix.record_prompt(prompt, self._unread, _now())
-        health.pending_prompt_tokens += self._unread
+        generated = min(
+            metadata.max_output_tokens, event_count * self._tokens_per_event()
+        )
+        resumed = metadata.last_event_id is not None and self._call.route.resumable
+        return generated if resumed else metadata.prompt_tokens + generated
+
+    def _begin_prefill(self, health: TargetHealth) -> None:
+        """Count the prompt's uncached tokens as pending at its target."""
+        parts = self._call.metadata.parts
+        self._uncached_tokens = health.count_uncached_tokens(parts, _now())
+        self._prefilling = health
+        prompt_tokens = sum(part.tokens for part in parts)
+        self._prompt_mix.record_prompt(prompt_tokens, self._uncached_tokens, _now())
+        health.pending_prompt_tokens += self._uncached_tokens
         health.record_parts(parts, _now())
 
-    def _end_reading(self) -> None:
-        """Count the prompt as read: its first event has come, or none will."""
-        if self._reader is not None:
-            self._reader.pending_prompt_tokens -= self._unread
-            self._reader = None
+    def _end_prefill(self) -> None:
+        """Stop counting the prompt as pending, after its first event or a failure."""
+        if self._prefilling is not None:
+            self._prefilling.pending_prompt_tokens -= self._uncached_tokens
+            self._prefilling = None
 
     def _tokens_per_event(self) -> int:
-        catalogue = self._parts.catalogue.current
+        catalogue = self._dependencies.catalogue.current
         if catalogue is None:
             return 1
         service = catalogue.services.get(self._call.service)
@@ -179,24 +185,30 @@
             return 1
         return service.engine.tokens_per_event
 
-    def _choose(self) -> Candidate:
+    def _choose_target(self) -> Candidate:
         call = self._call
-        targets = self._parts.targets
+        targets = self._dependencies.targets
         candidates = [
-            one
-            for one in targets.list_candidates(call.service)
-            if one.entry.start_id not in call.tried
+            candidate
+            for candidate in targets.list_candidates(call.service)
+            if candidate.entry.start_id not in call.tried
         ]
         now = _now()
-        limits = self._parts.limits
-        open_now = [one for one in candidates if limits.may_send(one, now)]
-        if candidates and not open_now:
-            raise self._refuse('limited', limits.compute_retry_after(candidates, now))
-        chosen = limits.find_probe_target(open_now, now) or self._choose_best(
-            open_now, now
+        limits = self._dependencies.limits
+        sendable = [
+            candidate for candidate in candidates if limits.may_send(candidate, now)
+        ]
+        if candidates and not sendable:
+            raise self._build_failure(
+                'limited', limits.compute_retry_after(candidates, now)
+            )
+        chosen = limits.find_probe_target(sendable, now) or self._choose_best(
+            sendable, now
         )
         if chosen is None:
-            raise self._refuse('no_target', draw_jittered_delay(AWAY_PAUSE_S))
+            raise self._build_failure(
+                'no_target', draw_jittered_delay(NO_TARGET_RETRY_AFTER_SECONDS)
+            )
         limits.record_send(chosen, now)
         return chosen
 
@@ -205,133 +217,145 @@
     ) -> Candidate | None:
         call = self._call
         if call.route.kind is RouteKind.stream:
-            return choose_engine(candidates, call.terms.parts, now, self._mix.split)
-        return choose_plain_target(candidates, self._parts.settings.domain, now)
+            return choose_engine(
+                candidates, call.metadata.parts, now, self._prompt_mix.split
+            )
+        return choose_plain_target(candidates, self._dependencies.settings.domain, now)
 
-    async def _try(self, candidate: Candidate) -> bool:
+    async def _attempt(self, candidate: Candidate) -> bool:
         call = self._call
         call.tried.add(candidate.entry.start_id)
-        call.sends += 1
+        call.attempts += 1
         call.target = candidate.entry.incarnation
         call.sent_at = _now()
-        self._parts.recorder.note_sent(call, candidate)
+        self._dependencies.recorder.record_sent(call, candidate)
         call.may_have_run = True
-        sent = await self._parts.sender.send(call, candidate, self._cutter.last_id)
-        match sent:
+        outcome = await self._dependencies.target_client.send(
+            call, candidate, self._splitter.last_event_id
+        )
+        match outcome:
             case Answered():
-                return await self._pass_on(sent, candidate)
+                return await self._forward_answer(outcome, candidate)
             case NotSent() | NotRun():
-                self._note_rejection(sent)
-            case Broken(reason=reason):
-                self._note_break(candidate, reason)
+                self._handle_rejection(outcome)
+            case OutcomeUnknown(reason=reason):
+                self._handle_unknown_outcome(candidate, reason)
         return False
 
-    def _note_rejection(self, sent: NotSent | NotRun) -> None:
+    def _handle_rejection(self, outcome: NotSent | NotRun) -> None:
         call = self._call
-        call.sends -= 1
-        call.may_have_run = call.sends > 0
+        call.attempts -= 1
+        call.may_have_run = call.attempts > 0
         self._rejections += 1
-        if self._rejections >= MOST_REJECTIONS:
-            raise self._refuse('full', draw_jittered_delay(FULL_PAUSE_S))
-        if isinstance(sent, NotRun) and not self._take_retry():
-            raise self._refuse('full', draw_jittered_delay(FULL_PAUSE_S))
-
-    def _note_break(self, candidate: Candidate, reason: str) -> None:
+        if self._rejections >= MAX_REJECTIONS:
+            raise self._build_failure(
+                'full', draw_jittered_delay(FULL_RETRY_AFTER_SECONDS)
+            )
+        if isinstance(outcome, NotRun) and not self._take_retry():
+            raise self._build_failure(
+                'full', draw_jittered_delay(FULL_RETRY_AFTER_SECONDS)
+            )
+
+    def _handle_unknown_outcome(self, candidate: Candidate, reason: str) -> None:
         call = self._call
-        self._parts.fatal.record_break(candidate.entry, call.digest)
-        if not (call.route.repeatable and self._may_send_again()):
+        self._dependencies.fatal_requests.record_break(candidate.entry, call.digest)
+        if not (call.route.repeatable and self._may_retry()):
             raise RequestFailed(STATUS_BAD_GATEWAY, reason)
-        self._parts.recorder.note_resumed(call, reason, self._cutter.last_id)
+        self._dependencies.recorder.record_resumed(
+            call, reason, self._splitter.last_event_id
+        )
 
     def _take_retry(self) -> bool:
-        return self._retries.try_acquire(_now(), self._parts.budgets.router_count)
+        return self._retry_budget.try_acquire(
+            _now(), self._dependencies.budgets.router_count
+        )
 
-    def _refuse(self, reason: str, pause: float) -> RequestFailed:
+    def _build_failure(self, reason: str, retry_after: float) -> RequestFailed:
         if self._call.may_have_run:
             return RequestFailed(STATUS_BAD_GATEWAY, reason)
-        return RequestFailed(STATUS_UNAVAILABLE, reason, pause)
+        return RequestFailed(STATUS_UNAVAILABLE, reason, retry_after)
 
-    async def _pass_on(self, answered: Answered, candidate: Candidate) -> bool:
+    async def _forward_answer(self, answered: Answered, candidate: Candidate) -> bool:
         try:
             if answered.succeeded and self._call.route.kind is RouteKind.stream:
-                await self._pass_stream(answered)
+                await self._forward_stream(answered)
             else:
-                return await self._pass_whole(answered)
+                return await self._forward_whole(answered)
         except ConnectionBroken as error:
             answered.health.record_failure(_now())
-            self._cutter.drop_piece()
-            self._note_break(candidate, repr(error))
+            self._splitter.drop_partial_event()
+            self._handle_unknown_outcome(candidate, repr(error))
             return False
         finally:
-            # Whatever was not read to its end must not run on.
-            if not answered.exchange.reusable:
-                answered.exchange.close()
+            # Closing the connection cancels an answer that was not read to its end.
+            if not answered.connection.reusable:
+                answered.connection.close()
         return True
 
-    async def _pass_whole(self, answered: Answered) -> bool:
-        body = await answered.exchange.read_body()
-        self._parts.sender.finish(answered)
+    async def _forward_whole(self, answered: Answered) -> bool:
+        body = await answered.connection.read_body()
+        self._dependencies.target_client.release(answered)
         call = self._call
-        self._parts.fatal.record_answer(call.digest)
+        self._dependencies.fatal_requests.record_answer(call.digest)
         failed = answered.head.status >= FIRST_FAILURE_STATUS
-        if failed and call.route.repeatable and self._may_send_again():
+        if failed and call.route.repeatable and self._may_retry():
             return False
         if not failed:
             answered.health.record_success()
-        self._replies.pass_whole(answered.head, body)
-        self._parts.recorder.note_served(
-            self._call, answered.head.status, self._cutter.events
+        self._response.write_whole(answered.head, body)
+        self._dependencies.recorder.record_served(
+            self._call, answered.head.status, self._splitter.event_count
         )
         return True
 
-    def _note_pauses(self, longest: float) -> None:
-        accepted = self._call.route.max_pause_seconds
-        if accepted and self._cutter.events > 1:
-            tokens = sum(part.tokens for part in self._call.terms.parts)
-            self._mix.record_answer(tokens, longest, accepted, _now())
+    def _record_event_gaps(self, max_gap: float) -> None:
+        allowed_gap = self._call.route.max_pause_seconds
+        if allowed_gap and self._splitter.event_count > 1:
+            tokens = sum(part.tokens for part in self._call.metadata.parts)
+            self._prompt_mix.record_answer(tokens, max_gap, allowed_gap, _now())
 
-    def _may_send_again(self) -> bool:
+    def _may_retry(self) -> bool:
         call = self._call
-        if call.sends >= call.route.max_targets:
+        if call.attempts >= call.route.max_targets:
             return False
         return self._take_retry()
 
-    async def _pass_stream(self, answered: Answered) -> None:
-        if not self._replies.begun:
-            self._replies.begin_stream(answered.head)
-            self._parts.recorder.note_first(self._call)
-        exchange = answered.exchange
-        pauses = _Pauses()
-        while (part := await exchange.read_part()) is not None:
+    async def _forward_stream(self, answered: Answered) -> None:
+        if not self._response.head_sent:
+            self._response.begin_stream(answered.head)
+            self._dependencies.recorder.record_first_byte(self._call)
+        connection = answered.connection
+        gaps = _EventGaps()
+        while (part := await connection.read_part()) is not None:
             answered.health.last_received_at = _now()
-            whole = self._cutter.feed(part)
-            if whole:
-                self._end_reading()
-                pauses.note_event(_now())
-                await self._replies.pass_chunk(whole)
-        if self._cutter.holds_piece:
+            events = self._splitter.feed(part)
+            if events:
+                self._end_prefill()
+                gaps.record_event(_now())
+                await self._response.write_chunk(events)
+        if self._splitter.has_partial_event:
             raise ConnectionBroken('the stream ended within an event')
-        self._replies.end_stream()
-        self._note_pauses(pauses.longest)
-        self._parts.sender.finish(answered)
-        self._parts.fatal.record_answer(self._call.digest)
+        self._response.end_stream()
+        self._record_event_gaps(gaps.max_gap)
+        self._dependencies.target_client.release(answered)
+        self._dependencies.fatal_requests.record_answer(self._call.digest)
         answered.health.record_success()
-        self._parts.recorder.note_served(
-            self._call, answered.head.status, self._cutter.events
+        self._dependencies.recorder.record_served(
+            self._call, answered.head.status, self._splitter.event_count
         )
 
 
 @dataclass(slots=True)
-class _Pauses:
-    """The longest pause between two events of a stream, seconds."""
+class _EventGaps:
+    """Measures the longest gap between two events of a stream, in seconds."""
 
-    longest: float = 0.0
-    _heard_at: float = math.inf
+    max_gap: float = 0.0
+    _last_event_at: float = math.inf
 
-    def note_event(self, now: float) -> None:
-        """Note an event; the first one ends no pause."""
-        self.longest = max(self.longest, now - self._heard_at)
-        self._heard_at = now
+    def record_event(self, now: float) -> None:
+        """Record an event; no gap precedes the first one."""
+        self.max_gap = max(self.max_gap, now - self._last_event_at)
+        self._last_event_at = now
 
 
 def _now() -> float:
--- a/packages/fleet/src/ibisport_fleet/process.py
+++ b/packages/fleet/src/ibisport_fleet/process.py
@@ -1,4 +1,4 @@
-"""Runs a router as the process's only work."""
+"""Runs a router or a relay as a process."""
 
 import asyncio
 import gc
@@ -13,29 +13,29 @@
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import HostSettings
 
-# Exit code of a process that ended since a part of it failed.
-FAILURE_CODE = 1
+# Exit code of a router that stopped because a background task failed.
+FAILURE_EXIT_CODE = 1
 
 
 def run_router(settings: HostSettings, adapters: Adapters) -> None:
-    """Serve until the process is told to stop.
+    """Serve requests until the process is asked to stop.
 
     Args:
-        settings: Who this process is.
-        adapters: The platform's adapter.
+        settings: The settings of this process.
+        adapters: The platform's adapters.
     """
-    # What was imported lives for ever; the collector needn't look at it again.
+    # Imported objects are never freed, so the garbage collector can skip them.
     gc.freeze()
-    if uvloop.run(_run(settings, adapters)):
-        sys.exit(FAILURE_CODE)
+    if uvloop.run(_run_router(settings, adapters)):
+        sys.exit(FAILURE_EXIT_CODE)
 
 
 def run_relay(settings: HostSettings, adapters: RelayAdapters) -> None:
-    """Pass store calls on until the process is told to stop.
+    """Relay store calls until the process is asked to stop.
 
     Args:
-        settings: Who this process is.
-        adapters: The platform's adapter.
+        settings: The settings of this process.
+        adapters: The platform's adapters.
     """
     gc.freeze()
     uvloop.run(_run_relay(settings, adapters))
@@ -46,11 +46,11 @@
     relay = Relay(settings, adapters, log)
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    # A relay has nothing to reload.
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
+    # A relay has nothing to reload; `int` serves as a handler without an effect.
     loop.add_signal_handler(signal.SIGHUP, int)
-    _let_hangups_through()
+    _unblock_sighup()
     accept = relay.connections.accept
     listener = await loop.create_server(accept, *settings.peer_address)
     log.write(Event.process_started, host=settings.host, domain=settings.domain)
@@ -62,18 +62,18 @@
     log.write(Event.process_stopped, host=settings.host)
 
 
-async def _run(settings: HostSettings, adapters: Adapters) -> bool:
-    """Serve, and return whether a part of the router failed."""
+async def _run_router(settings: HostSettings, adapters: Adapters) -> bool:
+    """Serve, and return whether a background task of the router failed."""
     router = Router(settings, adapters, EventLog())
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, router.stop)
     loop.add_signal_handler(signal.SIGINT, router.stop)
     loop.add_signal_handler(signal.SIGHUP, router.reload)
-    _let_hangups_through()
+    _unblock_sighup()
     await router.run()
     return router.failed
 
 
-def _let_hangups_through() -> None:
-    """Take SIGHUP, which the program held back until its handler stood."""
+def _unblock_sighup() -> None:
+    """Unblock SIGHUP, which the program blocks until its handler is installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
--- a/packages/fleet/src/ibisport_fleet/readiness.py
+++ b/packages/fleet/src/ibisport_fleet/readiness.py
@@ -1,4 +1,4 @@
-"""Tells the balancer whether new connections may come."""
+"""Serves the balancer's readiness checks and the metrics."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,14 +17,14 @@
     b'HTTP/1.1 200 OK\r\ncontent-type: text/plain; version=0.0.4\r\n'
     b'content-length: %d\r\n\r\n'
 )
-IDLE_SECONDS = 30.0
+IDLE_TIMEOUT_SECONDS = 30.0
 
 
 class ReadinessServer:
-    """Answers on the readiness address; the metrics are served there as well.
+    """Answers readiness checks; the metrics are served on the same address.
 
     Attributes:
-        connections: The connections of the balancer and of whoever reads metrics.
+        connections: The connections of the balancer and of metrics scrapers.
     """
 
     def __init__(
@@ -40,12 +40,14 @@
     async def _serve(self, channel: Channel) -> None:
         reader = RequestReader(channel, Limits())
         try:
-            async with asyncio.timeout(IDLE_SECONDS) as timer:
+            async with asyncio.timeout(IDLE_TIMEOUT_SECONDS) as timer:
                 while (request := await reader.read()) is not None:
                     channel.write(self._answer(request.target))
-                    timer.reschedule(asyncio.get_running_loop().time() + IDLE_SECONDS)
+                    timer.reschedule(
+                        asyncio.get_running_loop().time() + IDLE_TIMEOUT_SECONDS
+                    )
         except (FleetError, TimeoutError):
-            # A balancer that left or sent rubbish asks again by itself.
+            # A balancer that disconnected or sent invalid bytes will check again.
             return
 
     def _answer(self, target: bytes) -> bytes:
--- a/packages/fleet/src/ibisport_fleet/recording.py
+++ b/packages/fleet/src/ibisport_fleet/request_recorder.py
@@ -1,4 +1,4 @@
-"""Writes down what was decided about each request: a log line and a figure each."""
+"""Writes a log line and a metric for each decision about a request."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 from ibisport_fleet.metrics import Metrics
 from ibisport_fleet.target_choice import Candidate
 
-SERVED = 'served'
-LEFT = 'caller_left'
-CUT = 'process_ended'
+OUTCOME_SERVED = 'served'
+OUTCOME_CALLER_LEFT = 'caller_left'
+OUTCOME_PROCESS_ENDED = 'process_ended'
 
 
-class Recorder:
-    """The log and the metrics of requests."""
+class RequestRecorder:
+    """Records requests in the log and in the metrics."""
 
     def __init__(self, log: EventLog, metrics: Metrics) -> None:
         self._log = log
         self._metrics = metrics
 
-    def note_refused(
+    def record_refused(
         self, request_id: str, status: int, reason: str, version: int | None
     ) -> None:
-        """Note a request that was refused before it had a route."""
+        """Record a request that was refused before it had a route."""
         self._log.write(
             Event.request_refused,
             request=request_id,
@@ -33,83 +33,87 @@
         )
         self._metrics.count_request(None, '', f'{status} {reason}')
 
-    def note_short(self, call: Call, status: int, short: TokensUnavailable) -> None:
-        """Note a request that a budget doesn't cover, and what was known of it."""
+    def record_budget_refusal(
+        self, call: Call, status: int, error: TokensUnavailable
+    ) -> None:
+        """Record a request that its budget doesn't cover, with the budget's state."""
         name = _name_workspace(call)
         self._log.write(
             Event.request_refused,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             route=call.route.name,
             workspace=name,
             status=status,
             reason='budget',
-            retry_after=short.retry_after,
-            tokens=call.terms.max_tokens,
-            **short.details,
+            retry_after=error.retry_after,
+            tokens=call.metadata.max_tokens,
+            **error.details,
         )
         self._metrics.count_request(name, call.route.name, f'{status} budget')
 
-    def note_sent(self, call: Call, candidate: Candidate) -> None:
-        """Note which target was chosen, and by what."""
+    def record_sent(self, call: Call, candidate: Candidate) -> None:
+        """Record which target was selected, and the load report behind it."""
         now = asyncio.get_running_loop().time()
         health = candidate.health
         self._log.write(
             Event.request_sent,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             digest=call.digest,
             route=call.route.name,
             version=call.version,
             workspace=_name_workspace(call),
             target=candidate.entry.incarnation,
             target_revision=candidate.entry.revision,
-            send=call.sends,
+            send=call.attempts,
             load=health.estimate_load(now),
             report_age=round(now - health.reported_at, 3),
-            left=round(call.left(now), 3),
+            left=round(call.remaining_seconds(now), 3),
         )
 
-    def note_first(self, call: Call) -> None:
-        """Note that the answer has begun."""
-        passed = asyncio.get_running_loop().time() - call.request.received_at
-        self._metrics.observe_first(_name_workspace(call), call.route.name, passed)
+    def record_first_byte(self, call: Call) -> None:
+        """Record that the answer has begun."""
+        elapsed = asyncio.get_running_loop().time() - call.request.received_at
+        self._metrics.observe_first_byte(
+            _name_workspace(call), call.route.name, elapsed
+        )
 
-    def note_resumed(self, call: Call, reason: str, last_event: int | None) -> None:
-        """Note that a request is sent again after a break."""
+    def record_resumed(self, call: Call, reason: str, last_event: int | None) -> None:
+        """Record that a request is sent again after a broken answer."""
         self._log.write(
             Event.request_resumed,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             reason=reason,
             last_event=last_event,
-            sends=call.sends,
+            sends=call.attempts,
             **_describe_send(call),
         )
 
-    def note_served(self, call: Call, status: int, events: int) -> None:
-        """Note an answer that was passed on whole."""
-        passed = asyncio.get_running_loop().time() - call.request.received_at
+    def record_served(self, call: Call, status: int, events: int) -> None:
+        """Record an answer that was forwarded completely."""
+        elapsed = asyncio.get_running_loop().time() - call.request.received_at
         self._log.write(
             Event.request_served,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             route=call.route.name,
             status=status,
-            seconds=round(passed, 4),
+            seconds=round(elapsed, 4),
             events=events,
         )
         name = _name_workspace(call)
-        self._metrics.observe_whole(name, call.route.name, passed)
-        self._metrics.count_request(name, call.route.name, SERVED)
+        self._metrics.observe_duration(name, call.route.name, elapsed)
+        self._metrics.count_request(name, call.route.name, OUTCOME_SERVED)
 
-    def note_failed(self, call: Call, status: int, reason: str, begun: bool) -> None:
-        """Note a request that was given up."""
+    def record_failed(self, call: Call, status: int, reason: str, begun: bool) -> None:
+        """Record a request that failed."""
         self._log.write(
             Event.request_failed,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             route=call.route.name,
             workspace=_name_workspace(call),
             status=status,
             reason=reason,
             may_have_run=call.may_have_run,
-            sends=call.sends,
+            sends=call.attempts,
             begun=begun,
             **_describe_send(call),
         )
@@ -117,46 +121,50 @@
             _name_workspace(call), call.route.name, f'{status} {reason[:40]}'
         )
 
-    def note_left(self, call: Call, events: int) -> None:
-        """Note a caller that left before its answer had ended."""
-        passed = asyncio.get_running_loop().time() - call.request.received_at
+    def record_caller_left(self, call: Call, events: int) -> None:
+        """Record a caller that disconnected before its answer was complete."""
+        elapsed = asyncio.get_running_loop().time() - call.request.received_at
         self._log.write(
             Event.request_left,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             route=call.route.name,
-            seconds=round(passed, 4),
+            seconds=round(elapsed, 4),
             events=events,
         )
-        self._metrics.count_request(_name_workspace(call), call.route.name, LEFT)
+        self._metrics.count_request(
+            _name_workspace(call), call.route.name, OUTCOME_CALLER_LEFT
+        )
 
-    def note_cut(self, call: Call, events: int, stopping_at: float) -> None:
-        """Note a request that was still served when the process ended.
+    def record_interrupted(self, call: Call, events: int, stopping_at: float) -> None:
+        """Record a request that was still running when the process ended.
 
         Args:
             call: The request.
-            events: Whole events of the answer that were passed on.
+            events: Number of complete events that were forwarded.
             stopping_at: Loop time at which the process was asked to stop.
         """
         now = asyncio.get_running_loop().time()
         received = call.request.received_at
         self._log.write(
             Event.request_cut,
-            request=call.terms.request_id,
+            request=call.metadata.request_id,
             route=call.route.name,
             seconds=round(now - received, 4),
             since_stop=round(received - stopping_at, 4),
             may_have_run=call.may_have_run,
             events=events,
         )
-        self._metrics.count_request(_name_workspace(call), call.route.name, CUT)
+        self._metrics.count_request(
+            _name_workspace(call), call.route.name, OUTCOME_PROCESS_ENDED
+        )
 
-    def note_charged(self, call: Call, tokens: int) -> None:
-        """Note what a request has cost."""
+    def record_charged(self, call: Call, tokens: int) -> None:
+        """Record the tokens that a request has cost."""
         self._metrics.count_tokens(_name_workspace(call), tokens)
 
 
 def _describe_send(call: Call) -> dict[str, object]:
-    """Return where a request was last sent, and how long ago."""
+    """Return the log fields for the last send: its target, and how long ago."""
     if call.target is None:
         return {}
     now = asyncio.get_running_loop().time()
--- a/packages/fleet/src/ibisport_fleet/router.py
+++ b/packages/fleet/src/ibisport_fleet/router.py
@@ -1,4 +1,4 @@
-"""A router, put together in one place."""
+"""Assembles a router process from its components and runs it."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,7 +6,8 @@
 
 from ibisport_fleet.adapters import Adapters
 from ibisport_fleet.budgets import Budgets
-from ibisport_fleet.callers import CallerServer
+from ibisport_fleet.call_handler import CallHandler
+from ibisport_fleet.caller_server import CallerServer
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.clocks import read_boot_clock
 from ibisport_fleet.connection_pool import ConnectionPool
@@ -14,8 +15,7 @@
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.fatal_requests import FatalRequests
 from ibisport_fleet.fleet_view import CatalogueView, TargetView
-from ibisport_fleet.forwarding import Parts
-from ibisport_fleet.handling import CallHandler
+from ibisport_fleet.forwarding import Dependencies
 from ibisport_fleet.loans import LoanClient, LoanServer
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.metrics import Metrics
@@ -23,59 +23,59 @@
 from ibisport_fleet.peers import PeerClient, PeerServer
 from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.readiness import ReadinessServer
-from ibisport_fleet.recording import Recorder
-from ibisport_fleet.sending import Sender
+from ibisport_fleet.request_recorder import RequestRecorder
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.shutdown import Shutdown, plan_shutdown
 from ibisport_fleet.store_contact import StoreContact
 from ibisport_fleet.store_paths import RelayEndpoint, StorePaths
+from ibisport_fleet.target_client import TargetClient
 from ibisport_fleet.target_limits import TargetLimits
 from ibisport_fleet.watch_schedule import WatchSchedule, plan_router_watch
 
-# Waiting connections that the system keeps before it drops new ones.
+# Connections that the kernel queues before it drops new ones.
 BACKLOG = 1_024
-POLL_SECONDS = 0.1
-# Stale reads cost a tenth of a call.
-PROBE_PERIOD_S = 0.5
-# A timer of half a second that is later than this shows a process that stood still; a
-# busy loop turns sooner.
-LONGEST_TURN_S = 1.0
+POLL_INTERVAL_SECONDS = 0.1
+# The probe is a stale read, which costs a tenth of a call.
+PROBE_INTERVAL_SECONDS = 0.5
+# The probe's timer of half a second is later than this only if the process was
+# suspended; a busy event loop runs it sooner.
+MAX_LOOP_DELAY_SECONDS = 1.0
 
 
 class Router:
     """One router process.
 
     Attributes:
-        leaving: It was asked to stop and takes no new connections.
-        failed: It leaves since a background task ended; it should start again.
+        stopping: Whether it was asked to stop and is no longer ready.
+        failed: Whether it stops because a background task ended; it should restart.
     """
 
     def __init__(
         self, settings: HostSettings, adapters: Adapters, log: EventLog
     ) -> None:
-        self.leaving = False
+        self.stopping = False
         self.failed = False
         self._settings = settings
         self._adapters = adapters
         self._log = log
-        self._alive_at = read_boot_clock()
-        self._stopped: asyncio.Future[Shutdown] = (
+        self._last_tick_at = read_boot_clock()
+        self._shutdown_planned: asyncio.Future[Shutdown] = (
             asyncio.get_running_loop().create_future()
         )
         self._tasks: set[asyncio.Task[None]] = set()
-        self._listed: set[str] = set()
+        self._listed_prefixes: set[str] = set()
         self._watches: dict[str, PrefixWatch] = {}
-        self._contact = StoreContact(asyncio.get_running_loop().time())
+        self._store_contact = StoreContact(asyncio.get_running_loop().time())
         self._catalogue = CatalogueView(
             adapters.catalogue_key, adapters.decode_catalogue, log
         )
         self._targets = TargetView(
             adapters.decode_target, adapters.parse_incarnation, log
         )
-        self._paths = StorePaths(
+        self._store_paths = StorePaths(
             settings.store_address, settings.domain, self._list_relays
         )
-        self._store = adapters.open_store(self._paths, log)
+        self._store = adapters.open_store(self._store_paths, log)
         self._pool = ConnectionPool()
         self._metrics = Metrics()
         self._members = Membership(
@@ -83,7 +83,7 @@
         )
         peers = PeerClient(self._pool)
         notifier = Notifier(self._members, peers, log)
-        self._fatal = FatalRequests(
+        self._fatal_requests = FatalRequests(
             self._members, self._store, notifier, self._pool, self._targets, log
         )
         limits = TargetLimits(self._members, self._targets, notifier, log)
@@ -91,69 +91,73 @@
             self._members, self._store, self._catalogue, log, LoanClient(peers)
         )
         loans = LoanServer(self._budgets.lend)
-        handlers = {**loans.handlers, **self._fatal.handlers, **limits.handlers}
-        self._peers = PeerServer(handlers, log)
-        self._handler = CallHandler(
-            Parts(
+        handlers = {
+            **loans.handlers,
+            **self._fatal_requests.handlers,
+            **limits.handlers,
+        }
+        self._peer_server = PeerServer(handlers, log)
+        self._call_handler = CallHandler(
+            Dependencies(
                 settings=settings,
                 dialect=adapters.dialect,
                 catalogue=self._catalogue,
                 targets=self._targets,
-                sender=Sender(adapters.dialect, self._pool, limits),
+                target_client=TargetClient(adapters.dialect, self._pool, limits),
                 budgets=self._budgets,
-                recorder=Recorder(log, self._metrics),
-                fatal=self._fatal,
+                recorder=RequestRecorder(log, self._metrics),
+                fatal_requests=self._fatal_requests,
                 limits=limits,
             )
         )
-        self._callers = CallerServer(
-            self._handler, self._catalogue, adapters.dialect, log
+        self._caller_server = CallerServer(
+            self._call_handler, self._catalogue, adapters.dialect, log
         )
-        self._readiness = ReadinessServer(self.is_ready, self._dump_metrics, log)
+        self._readiness_server = ReadinessServer(self.is_ready, self._dump_metrics, log)
 
     @property
     def in_flight(self) -> int:
-        """Requests that have come and have no final answer yet."""
-        return self._handler.in_flight
+        """Number of received requests without a final answer."""
+        return self._call_handler.in_flight
 
     def is_ready(self) -> bool:
-        """Whether new connections may come."""
-        known = self._catalogue.current is not None and len(self._listed) > 1
-        return known and not self.leaving
+        """Whether the balancer may open new connections."""
+        known = self._catalogue.current is not None and len(self._listed_prefixes) > 1
+        return known and not self.stopping
 
     def accept_caller(self) -> Channel:
         """Return the protocol of a caller's new connection."""
-        return self._callers.connections.accept()
+        return self._caller_server.connections.accept()
 
     async def run(self) -> None:
-        """Serve until ``stop`` was called and the last answer is given."""
+        """Serve until ``stop`` was called and the last answer is written."""
         loop = asyncio.get_running_loop()
         self._watch(self._adapters.catalogue_prefix, self._catalogue)
         self._watch(self._adapters.target_prefix, self._targets)
         background = {
-            'probe': self._probe_straight(),
+            'probe': self._probe_direct_path(),
             'members': self._members.run(),
             'repaying': self._budgets.run_repayments(),
-            'quarantine': self._fatal.run(),
+            'quarantine': self._fatal_requests.run(),
         }
-        for name, work in background.items():
-            self._spawn(work, name)
-        proving = self._spawn(self._budgets.run_proof_renewals(), 'proofs')
-        keeping = self._spawn(self._budgets.run(), 'budgets')
+        for name, coroutine in background.items():
+            self._spawn(coroutine, name)
+        proof_task = self._spawn(self._budgets.run_proof_renewals(), 'proofs')
+        budget_task = self._spawn(self._budgets.run(), 'budgets')
         listener = await self._listen()
         self._log.write(
             Event.process_started,
             host=self._settings.host,
             domain=self._settings.domain,
         )
-        shutdown = await self._stopped
-        await self._stay_open(shutdown)
-        self._close(listener)
-        await self._await_callers(shutdown.settlement_at)
-        keeping.cancel()
-        proving.cancel()
-        await self._end(shutdown)
-        self._handler.ended = True
+        shutdown = await self._shutdown_planned
+        await self._keep_listening(shutdown)
+        self._close_listener(listener)
+        await self._wait_for_connections(shutdown.settlement_at)
+        budget_task.cancel()
+        proof_task.cancel()
+        await self._finish_shutdown(shutdown)
+        self._call_handler.process_ended = True
         self._log.write(
             Event.process_stopped,
             host=self._settings.host,
@@ -168,95 +172,104 @@
         callers = self._settings.callers_address
         if readiness is None or callers is None:
             raise RecordInvalid('a router needs addresses for callers and readiness')
-        asked = self._readiness.connections.accept
+        accept_readiness = self._readiness_server.connections.accept
         for address in (readiness, self._settings.metrics_address):
-            await loop.create_server(asked, *address, backlog=BACKLOG)
-        peers = self._peers.connections.accept
+            await loop.create_server(accept_readiness, *address, backlog=BACKLOG)
+        peers = self._peer_server.connections.accept
         await loop.create_server(peers, *self._settings.peer_address, backlog=BACKLOG)
-        accept = self._callers.connections.accept
+        accept = self._caller_server.connections.accept
         return await loop.create_server(accept, *callers, backlog=BACKLOG)
 
     def stop(self) -> None:
-        """Begin to leave: no new connections, and an end to the old ones."""
-        if self.leaving:
+        """Begin a graceful shutdown; another call has no effect."""
+        if self.stopping:
             return
         self._log.write(
             Event.process_stopping,
             host=self._settings.host,
             in_flight=self.in_flight,
         )
-        self.leaving = True
+        self.stopping = True
         grace = self._settings.bounds.stop_grace
-        shutdown = plan_shutdown(self._find_signal(), grace)
-        self._handler.leave(shutdown)
-        self._callers.leaving = True
+        shutdown = plan_shutdown(self._estimate_signal_time(), grace)
+        self._call_handler.begin_shutdown(shutdown)
+        self._caller_server.stopping = True
         self._budgets.leave(shutdown)
-        self._stopped.set_result(shutdown)
+        self._shutdown_planned.set_result(shutdown)
 
-    def _find_signal(self) -> float:
-        """Return the earliest loop time at which the signal may have come.
+    def _estimate_signal_time(self) -> float:
+        """Return the earliest loop time at which the stop signal may have arrived.
 
-        The grace runs from then on: a process that stood still would plan its last
-        answers for a time after the kill.
+        The grace period begins then. Without this estimate, a process that was
+        suspended would plan its last answers for a time after the kill.
         """
         now = asyncio.get_running_loop().time()
-        still = read_boot_clock() - self._alive_at
-        return now - still if still > LONGEST_TURN_S else now
+        suspended_seconds = read_boot_clock() - self._last_tick_at
+        return (
+            now - suspended_seconds
+            if suspended_seconds > MAX_LOOP_DELAY_SECONDS
+            else now
+        )
 
     def reload(self) -> None:
-        """Take changed settings; nothing that runs is cut off.
+        """Reload the settings without interrupting requests.
 
-        Addresses stay as they are until the process starts again.
+        Changed addresses take effect only after a restart.
         """
         try:
             self._settings = self._adapters.load_settings()
         except RecordInvalid as error:
             self._log.write(Event.record_refused, reason=str(error))
             return
-        self._handler.take_bounds(self._settings.bounds)
+        self._call_handler.apply_bounds(self._settings.bounds)
         self._log.write(Event.settings_reloaded, host=self._settings.host)
 
-    async def _probe_straight(self) -> None:
-        """Take the straight way to the store again as soon as it works."""
+    async def _probe_direct_path(self) -> None:
+        """Return to the direct path to the store as soon as it works."""
         while True:
-            self._alive_at = read_boot_clock()
-            await asyncio.sleep(PROBE_PERIOD_S)
-            if not self._paths.direct_works and await self._store.probe():
+            self._last_tick_at = read_boot_clock()
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
+            if not self._store_paths.direct_works and await self._store.probe():
                 self._log.write(Event.store_way_regained)
 
     def _dump_metrics(self) -> bytes:
         catalogue = self._catalogue.current
         self._metrics.set_state('targets', len(self._targets.targets))
         self._metrics.set_state('in_flight', self.in_flight)
-        self._metrics.set_state('connections', len(self._callers.connections))
+        self._metrics.set_state('connections', len(self._caller_server.connections))
         self._metrics.set_state('routers', self._budgets.router_count)
-        self._metrics.set_state('straight_way', self._paths.direct_works)
-        for name, count in self._fatal.counts.items():
+        self._metrics.set_state('straight_way', self._store_paths.direct_works)
+        for name, count in self._fatal_requests.counts.items():
             self._metrics.set_state(name, count)
         if catalogue is not None:
             self._metrics.set_state('catalogue_version', catalogue.version)
         now = asyncio.get_running_loop().time()
         for prefix, watch in self._watches.items():
             self._metrics.set_unconfirmed(prefix, now - watch.confirmed_at)
-        for (kind, straight), calls in self._paths.attempt_counts.items():
-            way = 'straight' if straight else 'relay'
-            self._metrics.set_store_calls(kind.value, way, calls)
+        for (kind, direct), calls in self._store_paths.attempt_counts.items():
+            path = 'straight' if direct else 'relay'
+            self._metrics.set_store_calls(kind.value, path, calls)
         return self._metrics.dump()
 
     def _list_relays(self) -> list[RelayEndpoint]:
         port = self._settings.peer_address[1]
-        places = [
+        relays = [
             RelayEndpoint((entry.address[0], port), entry.domain)
             for entry in self._targets.targets.entries
         ]
-        return places
+        return relays
 
     def _watch(self, prefix: str, follower: CatalogueView | TargetView) -> None:
         watch = PrefixWatch(
-            self._store, prefix, follower, self._log, self._contact, self._plan_watch
+            self._store,
+            prefix,
+            follower,
+            self._log,
+            self._store_contact,
+            self._plan_watch,
         )
         self._watches[prefix] = watch
-        self._spawn(watch.run(lambda: self._listed.add(prefix)), prefix)
+        self._spawn(watch.run(lambda: self._listed_prefixes.add(prefix)), prefix)
 
     def _plan_watch(self) -> WatchSchedule:
         domains = {entry.domain for entry in self._targets.targets.entries}
@@ -264,87 +277,96 @@
         routers = self._members.count if self._members.listed else None
         return plan_router_watch(routers, len(domains), bound)
 
-    async def _close_budgets(self, until: float) -> None:
+    async def _close_budgets(self, deadline: float) -> None:
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 await self._budgets.close()
         except TimeoutError:
-            # What isn't given back counts as spent: the safe side.
+            # Tokens that aren't returned count as spent, so no budget is exceeded.
             self._log.write(Event.budget_unknown, reason='not given back in time')
 
-    def _spawn(self, work: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work, name=name)
-        # The loop itself keeps no reference to a task.
+    def _spawn(
+        self, coroutine: Coroutine[Any, Any, None], name: str
+    ) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine, name=name)
+        # The event loop itself keeps only weak references to tasks.
         self._tasks.add(task)
-        task.add_done_callback(self._check_task)
+        task.add_done_callback(self._handle_task_end)
         return task
 
-    def _check_task(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        if task.cancelled() or self._stopped.done():
+        if task.cancelled() or self._shutdown_planned.done():
             return
-        # A background task never ends by itself: without it the router would
-        # serve on with an old catalogue. Better a new process, but not at the cost of
-        # the answers that are on their way.
+        # A background task never returns normally. Without it, the router would go on
+        # with a stale catalogue, so the process restarts, but only after the answers
+        # in flight are written.
         self._log.write(
             Event.task_failed, task=task.get_name(), reason=repr(task.exception())
         )
         self.failed = True
         self.stop()
 
-    async def _stay_open(self, shutdown: Shutdown) -> None:
-        """Take new connections for a while after the signal.
+    async def _keep_listening(self, shutdown: Shutdown) -> None:
+        """Accept new connections for a while after the stop signal.
 
-        Long streams keep the process for seconds. Where all routers leave at once,
-        callers have nobody else, so what can be answered in time is taken meanwhile.
+        Long streams keep the process running for seconds. When all routers stop at
+        once, callers have no other router, so requests that can be answered in time
+        are accepted meanwhile.
         """
         loop = asyncio.get_running_loop()
         await _sleep_until(shutdown.listening_until)
-        while loop.time() < shutdown.settlement_at and self._handler.serves_any_from(
-            shutdown.accepts_until
+        while (
+            loop.time() < shutdown.settlement_at
+            and self._call_handler.serves_any_received_by(shutdown.accepts_until)
         ):
-            self._callers.close_idle()
-            await _sleep_until(loop.time() + POLL_SECONDS)
+            self._caller_server.close_idle()
+            await _sleep_until(loop.time() + POLL_INTERVAL_SECONDS)
 
-    def _close(self, listener: asyncio.Server) -> None:
+    def _close_listener(self, listener: asyncio.Server) -> None:
         listener.close()
         self._log.write(
             Event.listener_closed,
             host=self._settings.host,
             in_flight=self.in_flight,
-            connections=len(self._callers.connections),
+            connections=len(self._caller_server.connections),
         )
 
-    async def _await_callers(self, until: float) -> None:
-        """Wait until all connections have ended, until a loop time at most.
+    async def _wait_for_connections(self, deadline: float) -> None:
+        """Wait until all connections have closed, or until a loop time.
 
-        A connection may just have come, or its request be half read: what is in
-        flight doesn't tell.
+        The number of requests in flight isn't enough: a connection may be new, or its
+        request only partly read.
         """
         loop = asyncio.get_running_loop()
-        while len(self._callers.connections) and loop.time() < until:
-            self._callers.close_idle()
-            await _sleep_until(min(until, loop.time() + POLL_SECONDS))
+        while len(self._caller_server.connections) and loop.time() < deadline:
+            self._caller_server.close_idle()
+            await _sleep_until(min(deadline, loop.time() + POLL_INTERVAL_SECONDS))
 
-    async def _end(self, shutdown: Shutdown) -> None:
-        """Give the last answers, and write down what was spent.
+    async def _finish_shutdown(self, shutdown: Shutdown) -> None:
+        """Finish the last answers and settle the budgets.
 
-        Streams may go on until shortly before the kill, when a slow store might leave
-        no time for the only account: all that the process held would be stranded. So
-        one is written beside them, with what they may cost, and an exact one at last.
+        Streams may last until shortly before the kill, when a slow store might leave
+        no time for the only settlement, and all tokens that the process holds would be
+        stranded. So the budgets are settled once while streams run, including what
+        these may cost, and exactly at the end.
         """
-        if len(self._callers.connections):
-            early = self._spawn(self._close_budgets(shutdown.ends_at), 'accounts')
-            await self._await_callers(shutdown.answers_until + POLL_SECONDS)
-            await early
+        if len(self._caller_server.connections):
+            early_settlement = self._spawn(
+                self._close_budgets(shutdown.ends_at), 'accounts'
+            )
+            await self._wait_for_connections(
+                shutdown.answers_until + POLL_INTERVAL_SECONDS
+            )
+            await early_settlement
         await self._close_budgets(shutdown.ends_at)
-        await self._await_flush(shutdown.ends_at)
+        await self._wait_for_flush(shutdown.ends_at)
 
-    async def _await_flush(self, until: float) -> None:
-        """Wait until slow links have taken what was written, until a loop time."""
+    async def _wait_for_flush(self, deadline: float) -> None:
+        """Wait until all written bytes are flushed, or until a loop time."""
         loop = asyncio.get_running_loop()
-        while not self._callers.connections.flushed and loop.time() < until:
-            await _sleep_until(min(until, loop.time() + POLL_SECONDS))
+        while not self._caller_server.connections.flushed and loop.time() < deadline:
+            await _sleep_until(min(deadline, loop.time() + POLL_INTERVAL_SECONDS))
 
 
 async def _sleep_until(when: float) -> None:
--- a/packages/fleet/src/ibisport_fleet/sse.py
+++ b/packages/fleet/src/ibisport_fleet/sse.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 import re
 
@@ -6,43 +6,43 @@
 _BOUNDARY = b'\n\n'
 
 
-class EventCutter:
-    """Holds back the piece of an event until the rest of it has come.
+class EventSplitter:
+    """Buffers a partial event until the rest of it arrives.
 
     Attributes:
-        last_id: Id of the last whole event, or None.
-        events: Whole events seen.
+        last_event_id: Id of the last complete event, or None.
+        event_count: Number of complete events.
     """
 
-    def __init__(self, last_id: int | None = None) -> None:
-        self.last_id = last_id
-        self.events = 0
-        self._rest = b''
+    def __init__(self, last_event_id: int | None = None) -> None:
+        self.last_event_id = last_event_id
+        self.event_count = 0
+        self._partial = b''
 
     @property
-    def holds_piece(self) -> bool:
-        """Whether a piece of an event is held back."""
-        return bool(self._rest)
+    def has_partial_event(self) -> bool:
+        """Whether a partial event is buffered."""
+        return bool(self._partial)
 
     def feed(self, content: bytes) -> bytes:
-        """Return the whole events that are complete with these bytes."""
-        joined = self._rest + content
-        end = joined.rfind(_BOUNDARY)
+        """Return the events that these bytes complete."""
+        buffered = self._partial + content
+        end = buffered.rfind(_BOUNDARY)
         if end < 0:
-            self._rest = joined
+            self._partial = buffered
             return b''
         end += len(_BOUNDARY)
-        self._rest = joined[end:]
-        whole = joined[:end]
-        self._note(whole)
-        return whole
-
-    def drop_piece(self) -> None:
-        """Forget the piece of an event that was never finished."""
-        self._rest = b''
-
-    def _note(self, whole: bytes) -> None:
-        self.events += whole.count(_BOUNDARY)
-        found = _ID_LINE.findall(whole)
-        if found:
-            self.last_id = int(found[-1])
+        self._partial = buffered[end:]
+        complete = buffered[:end]
+        self._count_events(complete)
+        return complete
+
+    def drop_partial_event(self) -> None:
+        """Discard the buffered part of an event that was never completed."""
+        self._partial = b''
+
+    def _count_events(self, complete: bytes) -> None:
+        self.event_count += complete.count(_BOUNDARY)
+        event_ids = _ID_LINE.findall(complete)
+        if event_ids:
+            self.last_event_id = int(event_ids[-1])
