--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -12,7 +12,7 @@
     choose_mixed,
     play,
 )
-from ibisport_fleet.engine_choice import choose_engine, list_readers
+from ibisport_fleet.engine_choice import choose_engine, select_long_prompt_engines
 from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry
 
@@ -78,7 +78,10 @@
             engines.append(Candidate(entry, TargetHealth()))
         shuffled = rng.sample(engines, len(engines))
         for share in SHARES:
-            listed = list_readers(engines, share), list_readers(shuffled, share)
+            listed = (
+                select_long_prompt_engines(engines, share),
+                select_long_prompt_engines(shuffled, share),
+            )
             context.listed.append((engines, share, *listed))
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -6,7 +6,7 @@
 from running_fleet import CONVERGENCE_SECONDS, FATAL, SLOW, START_SECONDS, run_fleet
 
 from ibisport_bench.memorytransport import Link
-from ibisport_fleet.quarantine import MOST_ENDS
+from ibisport_fleet.quarantine import CRASH_THRESHOLD
 
 OTHERS_PAUSE_S = 0.08
 FATAL_PAUSE_S = 0.25
@@ -156,7 +156,7 @@
         leaving = [_leave_soon(target) for target in fleet.targets]
         await asyncio.gather(*(fleet.call(one) for one in asks), *leaving)
         broken = {one.target for one in fleet.arrivals}
-        assert len(broken) >= MOST_ENDS, broken
+        assert len(broken) >= CRASH_THRESHOLD, broken
         await _ask_each(fleet, 'once', SLOW)
 
     context.fleet = run_fleet(act, *context.size)
--- a/features/steps/quarantinepage_steps.py
+++ b/features/steps/quarantinepage_steps.py
@@ -9,8 +9,8 @@
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_bench.virtualtime import run_virtually
 from ibisport_fleet.membership import SHARED_PREFIX
-from ibisport_fleet.quarantine import Quarantine, TargetEnd
-from ibisport_fleet.quarantine_store import PAGE_KEY, QuarantineStore, load_page
+from ibisport_fleet.quarantine import Quarantine, TargetCrash
+from ibisport_fleet.quarantine_store import PAGE_KEY, QuarantineStore, decode_page
 
 LISTING_PAUSE_S = 1.5
 SETTLING_S = 10.0
@@ -31,10 +31,10 @@
 def end_under_many(context, ends, count):
     for number in range(count):
         for target in range(ends):
-            end = TargetEnd(f'i-{number}-{target}', (f'd-{number}',))
-            context.quarantine.take_end(end)
+            end = TargetCrash(f'i-{number}-{target}', (f'd-{number}',))
+            context.quarantine.record_crash(end)
     for number in range(count):
-        context.quarantine.take_end(TargetEnd('i-last', (f'other-{number}',)))
+        context.quarantine.record_crash(TargetCrash('i-last', (f'other-{number}',)))
 
 
 @then('it watches at most {suspects:d} and keeps at most {kept:d} of them')
@@ -48,15 +48,15 @@
 def answer_between(context):
     quarantine = context.quarantine
     for target in ('i-1', 'i-2'):
-        quarantine.take_end(TargetEnd(target, (FIRST,)))
-    assert quarantine.note_answer(FIRST)
+        quarantine.record_crash(TargetCrash(target, (FIRST,)))
+    assert quarantine.record_answer(FIRST)
     for target in ('i-3', 'i-4'):
-        quarantine.take_end(TargetEnd(target, (FIRST,)))
+        quarantine.record_crash(TargetCrash(target, (FIRST,)))
 
 
 @then('the request may be sent')
 def check_sendable(context):
-    assert context.quarantine.find_pause(FIRST) is None
+    assert context.quarantine.find_remaining_seconds(FIRST) is None
 
 
 @given("{count:d} routers' copies of the quarantine over one store")
@@ -83,7 +83,7 @@
     async def _list(self):
         while True:
             listing = await self.store.scan(SHARED_PREFIX, stale=True)
-            self.saved.take_listing(listing)
+            self.saved.apply_listing(listing)
             await asyncio.sleep(LISTING_PAUSE_S)
 
 
@@ -148,13 +148,13 @@
 @then("the store's page and all copies hold all {count:d}")
 def check_all_held(context, count):
     expected = {f'request-{number}' for number in range(count)}
-    assert set(load_page(context.page).until) == expected, context.page
+    assert set(decode_page(context.page).until) == expected, context.page
     assert all(one == expected for one in context.copies), context.copies
 
 
 @then("the store's page holds it within 10 seconds")
 def check_saved(context):
-    assert FIRST in load_page(context.page).until
+    assert FIRST in decode_page(context.page).until
 
 
 @then('no copy holds any, and the store has no page')
--- a/features/steps/ratelimit_steps.py
+++ b/features/steps/ratelimit_steps.py
@@ -15,10 +15,10 @@
 from ibisport_fleet.engine_choice import choose_engine
 from ibisport_fleet.errors import PeerUnavailable
 from ibisport_fleet.metadata import PromptPart
-from ibisport_fleet.rate_limit import RateLimit, plan_gap
+from ibisport_fleet.rate_limit import RateLimit, compute_send_interval
 from ibisport_fleet.target_limits import (
-    FORGET_SECONDS,
-    LIMITS,
+    LIMIT_LIFETIME_SECONDS,
+    LIMITS_PATH,
     LimitNotice,
     TargetLimits,
 )
@@ -44,7 +44,7 @@
     @forall(strategies.floats(0, 500), strategies.integers(1, 200))
     def divide_one(rate, routers):
         hosts = frozenset(f'router-{number}' for number in range(routers))
-        gaps = [plan_gap(rate, TARGET, host, hosts) for host in hosts]
+        gaps = [compute_send_interval(rate, TARGET, host, hosts) for host in hosts]
         sending = [gap for gap in gaps if isfinite(gap)]
         # A closed window holds one send more than its length has gaps.
         most = sum(WINDOW_S / gap + 1 for gap in sending)
@@ -106,7 +106,7 @@
     async def take(self, *notice):
         """Take another router's notice."""
         content = msgspec.json.encode(LimitNotice(*notice))
-        await self.limits.handlers[LIMITS](content)
+        await self.limits.handlers[LIMITS_PATH](content)
 
     def answer(self, rate, sent_at):
         """Take an answer to a request of this router."""
@@ -155,7 +155,7 @@
     async def act(router):
         for content in (b'{"target":"i-1","rate":-1}', b'{"target":"i-1"}', b'[]'):
             try:
-                await router.limits.handlers[LIMITS](content)
+                await router.limits.handlers[LIMITS_PATH](content)
             except PeerUnavailable:
                 context.refused += 1
 
@@ -197,7 +197,7 @@
         await router.take(TARGET, 0.0)
         context.open = []
         for _ in range(2):
-            await asyncio.sleep(FORGET_SECONDS)
+            await asyncio.sleep(LIMIT_LIFETIME_SECONDS)
             context.open.append(router.limits.may_send(router.candidate, loop.time()))
 
     context.router = _play(act)
--- a/packages/fleet/src/ibisport_fleet/fatal_requests.py
+++ b/packages/fleet/src/ibisport_fleet/fatal_requests.py
@@ -10,20 +10,20 @@
 import msgspec
 
 from ibisport_fleet.connection_pool import ConnectionPool
-from ibisport_fleet.crash_detection import EndDetector
+from ibisport_fleet.crash_detection import CrashDetector
 from ibisport_fleet.eventlog import Event, EventLog
 from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.notices import Notifier
 from ibisport_fleet.peers import PeerHandler, decode_message
-from ibisport_fleet.quarantine import Quarantine, TargetEnd
+from ibisport_fleet.quarantine import Quarantine, TargetCrash
 from ibisport_fleet.quarantine_store import QuarantineStore
 from ibisport_fleet.store import Store
 from ibisport_fleet.targets import TargetEntry
 
-ENDS = b'/ends'
-ANSWERS = b'/answers'
-RECEIVED = b'{}'
+CRASHES_PATH = b'/ends'
+ANSWERS_PATH = b'/answers'
+ACKNOWLEDGEMENT = b'{}'
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,16 +56,16 @@
             log: Where decisions are written.
         """
         self._quarantine = Quarantine(time.time)
-        self._saved = QuarantineStore(self._quarantine, store, log)
+        self._quarantine_store = QuarantineStore(self._quarantine, store, log)
         self._notifier = notifier
-        self._ends = EndDetector(pool, targets, log, self._note_end)
+        self._crash_detector = CrashDetector(pool, targets, log, self._report_crash)
         self._log = log
-        members.on_listing = self._saved.take_listing
+        members.on_listing = self._quarantine_store.apply_listing
 
     @property
     def handlers(self) -> Mapping[bytes, PeerHandler]:
         """What takes other routers' notices, by path."""
-        return {ENDS: self._take_end, ANSWERS: self._take_answer}
+        return {CRASHES_PATH: self._handle_crash, ANSWERS_PATH: self._handle_answer}
 
     @property
     def counts(self) -> Mapping[str, int]:
@@ -78,45 +78,47 @@
 
     async def run(self) -> None:
         """Keep the store in step, for ever."""
-        await self._saved.run()
+        await self._quarantine_store.run()
 
     def find_remaining_seconds(self, digest: str) -> float | None:
         """Return for how many seconds a request isn't sent; None: it may be sent."""
-        return self._quarantine.find_pause(digest)
+        return self._quarantine.find_remaining_seconds(digest)
 
     def record_break(self, entry: TargetEntry, digest: str) -> None:
         """Note a request whose connection broke before its answer was whole."""
-        self._ends.note_break(entry, digest)
+        self._crash_detector.record_break(entry, digest)
 
     def record_answer(self, digest: str) -> None:
         """Note that a request got a whole answer: no target ended under it."""
-        if self._quarantine.note_answer(digest):
+        if self._quarantine.record_answer(digest):
             self._lift(digest, own=True)
             notice = msgspec.json.encode(AnswerNotice(digest))
-            self._notifier.notify(ANSWERS, notice)
+            self._notifier.notify(ANSWERS_PATH, notice)
 
-    def _note_end(self, end: TargetEnd) -> None:
+    def _report_crash(self, end: TargetCrash) -> None:
         """Count the end of a target that this router saw."""
-        self._notifier.notify(ENDS, msgspec.json.encode(end))
-        self._count(end, own=True)
+        self._notifier.notify(CRASHES_PATH, msgspec.json.encode(end))
+        self._apply_crash(end, own=True)
 
-    async def _take_end(self, content: bytes) -> bytes:
-        self._count(decode_message(content, TargetEnd), own=False)
-        return RECEIVED
+    async def _handle_crash(self, content: bytes) -> bytes:
+        self._apply_crash(decode_message(content, TargetCrash), own=False)
+        return ACKNOWLEDGEMENT
 
-    async def _take_answer(self, content: bytes) -> bytes:
+    async def _handle_answer(self, content: bytes) -> bytes:
         digest = decode_message(content, AnswerNotice).digest
-        if self._quarantine.note_answer(digest):
+        if self._quarantine.record_answer(digest):
             self._lift(digest, own=False)
-        return RECEIVED
+        return ACKNOWLEDGEMENT
 
-    def _count(self, end: TargetEnd, *, own: bool) -> None:
-        for digest in self._quarantine.take_end(end):
+    def _apply_crash(self, end: TargetCrash, *, own: bool) -> None:
+        for digest in self._quarantine.record_crash(end):
             self._log.write(
                 Event.request_quarantined, digest=digest, target=end.target, own=own
             )
-            self._saved.save(digest, self._quarantine.entries[digest], own=own)
+            self._quarantine_store.save(
+                digest, self._quarantine.entries[digest], own=own
+            )
 
     def _lift(self, digest: str, *, own: bool) -> None:
         self._log.write(Event.quarantine_lifted, digest=digest, own=own)
-        self._saved.save(digest, None, own=own)
+        self._quarantine_store.save(digest, None, own=own)
--- a/packages/fleet/src/ibisport_fleet/fleet_view.py
+++ b/packages/fleet/src/ibisport_fleet/fleet_view.py
@@ -32,14 +32,14 @@
     def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
         """Take the catalogue out of a listing of its prefix."""
         for item in listing.items:
-            self._take(item)
+            self._apply_item(item)
 
     def apply_change(self, change: Change, doubtful_until: float) -> None:
         """Take a new version."""
         if isinstance(change, Item):
-            self._take(change)
+            self._apply_item(change)
 
-    def _take(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         if item.key != self._key:
             return
         try:
@@ -71,7 +71,7 @@
     ) -> None:
         self.targets = TargetList()
         self._decode = decode
-        self._name_incarnation = name_incarnation
+        self._parse_incarnation = name_incarnation
         self._log = log
         self._health: dict[tuple[str, int], TargetHealth] = {}
         # The last content of each key that could not be read, so that one that is
@@ -80,20 +80,24 @@
 
     def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
         """Take all entries; those that are missing may only have lapsed."""
-        entries = [entry for item in listing.items if (entry := self._read(item))]
+        entries = [
+            entry for item in listing.items if (entry := self._decode_entry(item))
+        ]
         self.targets.replace_all(entries, doubtful_until)
         self._log.write(
             Event.target_added, targets=len(entries), revision=listing.revision
         )
-        self._drop_former_starts()
+        self._drop_stale_health()
 
     def apply_change(self, change: Change, doubtful_until: float) -> None:
         """Take one entry that was written or removed."""
         match change:
             case Item():
-                self._put(change)
+                self._apply_entry(change)
             case Removal(key=key, revision=revision):
-                self._remove(self._name_incarnation(key), revision, doubtful_until)
+                self._apply_removal(
+                    self._parse_incarnation(key), revision, doubtful_until
+                )
 
     def find_health(self, start: tuple[str, int]) -> TargetHealth:
         """Return what is known of the load and failures of one start of a target."""
@@ -115,15 +119,15 @@
     def _drop_lapsed(self) -> None:
         for incarnation in self.targets.drop_lapsed(asyncio.get_running_loop().time()):
             self._log.write(Event.target_gone, target=incarnation, reason='lapsed')
-            self._drop_former_starts()
+            self._drop_stale_health()
 
-    def _drop_former_starts(self) -> None:
+    def _drop_stale_health(self) -> None:
         """Forget the health of starts that are no longer listed."""
         listed = {entry.start_id for entry in self.targets.entries}
         for start in self._health.keys() - listed:
             self._health.pop(start)
 
-    def _read(self, item: Item) -> TargetEntry | None:
+    def _decode_entry(self, item: Item) -> TargetEntry | None:
         """Return an entry, or None if it names no target that could be used.
 
         Whoever wrote it, it costs no other entry its place; a known target whose
@@ -135,17 +139,17 @@
             if self._unreadable.get(item.key) != item.content:
                 self._log.write(Event.record_refused, reason=str(error)[:200])
             self._unreadable[item.key] = item.content
-            self.targets.set_aside(self._name_incarnation(item.key))
+            self.targets.drop(self._parse_incarnation(item.key))
             return None
         self._unreadable.pop(item.key, None)
         return entry
 
-    def _put(self, item: Item) -> None:
-        entry = self._read(item)
+    def _apply_entry(self, item: Item) -> None:
+        entry = self._decode_entry(item)
         if entry is None:
             return
         self.targets.put(entry)
-        self._drop_former_starts()
+        self._drop_stale_health()
         event = Event.target_draining if entry.draining else Event.target_added
         self._log.write(
             event,
@@ -155,11 +159,13 @@
             revision=entry.revision,
         )
 
-    def _remove(self, incarnation: str, revision: int, doubtful_until: float) -> None:
+    def _apply_removal(
+        self, incarnation: str, revision: int, doubtful_until: float
+    ) -> None:
         if asyncio.get_running_loop().time() < doubtful_until:
-            self.targets.lapse(incarnation, doubtful_until)
+            self.targets.mark_lapsed(incarnation, doubtful_until)
             self._log.write(Event.target_lapsed, target=incarnation, revision=revision)
             return
         self.targets.remove(incarnation)
-        self._drop_former_starts()
+        self._drop_stale_health()
         self._log.write(Event.target_gone, target=incarnation, revision=revision)
--- a/packages/fleet/src/ibisport_fleet/prompt_mix.py
+++ b/packages/fleet/src/ibisport_fleet/prompt_mix.py
@@ -17,18 +17,18 @@
 
 # Long enough for a small site's router to see a hundred long prompts, so that routers
 # divide engines alike; short enough to follow a change of the mix.
-MEMORY_SECONDS = 60.0
+DECAY_SECONDS = 60.0
 # A pause that takes so much of the accepted one shows the harm before it is done.
 # In the experiment on placing, engines that read slowly show it for 4 to 12 % of a
 # router's long answers, those that read fast for none.
-NEAR_SHARE = 0.7
+NEAR_LIMIT_SHARE = 0.7
 # Long prompts are kept apart from so many answers with such a pause on, and from this
 # part of all: a single one may be an engine's failure.
-LEAST_NEAR = 1.9
-APART_FROM = 0.05
+MIN_NEAR_LIMIT_ANSWERS = 1.9
+SPLIT_THRESHOLD = 0.05
 # They are mixed below this part, seen over so many answers.
-MIXED_BELOW = 0.02
-ENOUGH_ANSWERS = 25.0
+MERGE_THRESHOLD = 0.02
+MIN_ANSWERS_TO_MERGE = 25.0
 # Each router sees a sample of its own: with steps of a quarter they divide engines
 # alike, while with finer ones one engine in eight was both kinds at some routers and
 # 1.5 % of the short answers paused too long.
@@ -53,27 +53,27 @@
 
     def __init__(self) -> None:
         # Until enough is seen: to mix wrongly costs more than to keep apart wrongly.
-        self._apart = True
-        self._at = 0.0
-        self._prompts = 0.0
-        self._tokens = 0.0
-        self._unread = 0.0
-        self._unread_long = 0.0
-        self._answers = 0.0
-        self._near = 0.0
+        self._is_split = True
+        self._updated_at = 0.0
+        self._prompt_count = 0.0
+        self._prompt_tokens = 0.0
+        self._uncached_tokens = 0.0
+        self._uncached_long_tokens = 0.0
+        self._answer_count = 0.0
+        self._near_limit_count = 0.0
 
     @property
     def split(self) -> EngineSplit | None:
         """How engines are divided now; None: any engine takes any prompt."""
-        if not (self._apart and self._unread):
+        if not (self._is_split and self._uncached_tokens):
             return None
-        steps = round(self._unread_long / self._unread * SHARE_STEPS)
-        return EngineSplit(self.long_tokens, steps / SHARE_STEPS)
+        steps = round(self._uncached_long_tokens / self._uncached_tokens * SHARE_STEPS)
+        return EngineSplit(self.min_long_tokens, steps / SHARE_STEPS)
 
     @property
-    def long_tokens(self) -> float:
+    def min_long_tokens(self) -> float:
         """Prompts of so many tokens and more are long: the mean length."""
-        return self._tokens / self._prompts if self._prompts else 0.0
+        return self._prompt_tokens / self._prompt_count if self._prompt_count else 0.0
 
     def record_prompt(self, tokens: int, unread: int, now: float) -> None:
         """Count a prompt that is sent.
@@ -84,11 +84,11 @@
             now: Loop time.
         """
         self._decay(now)
-        self._prompts += 1
-        self._tokens += tokens
-        self._unread += unread
-        if tokens >= self.long_tokens:
-            self._unread_long += unread
+        self._prompt_count += 1
+        self._prompt_tokens += tokens
+        self._uncached_tokens += unread
+        if tokens >= self.min_long_tokens:
+            self._uncached_long_tokens += unread
 
     def record_answer(
         self, tokens: int, longest_pause: float, accepted: float, now: float
@@ -103,23 +103,26 @@
             accepted: The longest pause that its caller accepts, seconds.
             now: Loop time.
         """
-        if self._apart and tokens < self.long_tokens:
+        if self._is_split and tokens < self.min_long_tokens:
             return
         self._decay(now)
-        self._answers += 1
-        self._near += longest_pause > NEAR_SHARE * accepted
-        share = self._near / self._answers
-        if self._near >= LEAST_NEAR and share >= APART_FROM:
-            self._apart = True
-        elif self._answers >= ENOUGH_ANSWERS and share < MIXED_BELOW:
-            self._apart = False
+        self._answer_count += 1
+        self._near_limit_count += longest_pause > NEAR_LIMIT_SHARE * accepted
+        share = self._near_limit_count / self._answer_count
+        if (
+            self._near_limit_count >= MIN_NEAR_LIMIT_ANSWERS
+            and share >= SPLIT_THRESHOLD
+        ):
+            self._is_split = True
+        elif self._answer_count >= MIN_ANSWERS_TO_MERGE and share < MERGE_THRESHOLD:
+            self._is_split = False
 
     def _decay(self, now: float) -> None:
-        kept = math.exp((self._at - now) / MEMORY_SECONDS)
-        self._at = now
-        self._prompts *= kept
-        self._tokens *= kept
-        self._unread *= kept
-        self._unread_long *= kept
-        self._answers *= kept
-        self._near *= kept
+        kept = math.exp((self._updated_at - now) / DECAY_SECONDS)
+        self._updated_at = now
+        self._prompt_count *= kept
+        self._prompt_tokens *= kept
+        self._uncached_tokens *= kept
+        self._uncached_long_tokens *= kept
+        self._answer_count *= kept
+        self._near_limit_count *= kept
--- a/packages/fleet/src/ibisport_fleet/quarantine.py
+++ b/packages/fleet/src/ibisport_fleet/quarantine.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass, field
 
 # Different targets that end under a request before it is quarantined.
-MOST_ENDS = 3
-MOST_SUSPECTS = 4_096
+CRASH_THRESHOLD = 3
+MAX_SUSPECTS = 4_096
 SUSPECT_SECONDS = 600.0
-MOST_QUARANTINED = 512
+MAX_QUARANTINED = 512
 QUARANTINE_SECONDS = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
-class TargetEnd:
+class TargetCrash:
     """A target ended while requests ran there.
 
     Attributes:
@@ -39,8 +39,8 @@
         until: Wall-clock time at which it is forgotten, seconds.
     """
 
-    targets: set[str] = field(default_factory=set)
-    until: float = 0.0
+    crashed_targets: set[str] = field(default_factory=set)
+    expires_at: float = 0.0
 
 
 class Quarantine:
@@ -55,7 +55,7 @@
         self._read_clock = read_clock
         self._suspects: OrderedDict[str, _Suspect] = OrderedDict()
         # Wall-clock times at which they end.
-        self._until: dict[str, float] = {}
+        self._quarantined_until: dict[str, float] = {}
 
     @property
     def suspects(self) -> int:
@@ -65,50 +65,52 @@
     @property
     def entries(self) -> Mapping[str, float]:
         """Wall-clock times, in seconds, until which requests are quarantined."""
-        return self._until
+        return self._quarantined_until
 
-    def find_pause(self, digest: str) -> float | None:
+    def find_remaining_seconds(self, digest: str) -> float | None:
         """Return for how many seconds a request is quarantined; None: it isn't."""
-        until = self._until.get(digest)
+        until = self._quarantined_until.get(digest)
         if until is None:
             return None
         left = until - self._read_clock()
         return left if left > 0 else None
 
-    def take_end(self, end: TargetEnd) -> list[str]:
+    def record_crash(self, end: TargetCrash) -> list[str]:
         """Count the end of a target; return the requests that are now quarantined."""
         now = self._read_clock()
-        return [digest for digest in end.digests if self._count(digest, end, now)]
+        return [digest for digest in end.digests if self._count_crash(digest, end, now)]
 
-    def note_answer(self, digest: str) -> bool:
+    def record_answer(self, digest: str) -> bool:
         """Note that a request got a whole answer; return whether it was suspected."""
         suspected = self._suspects.pop(digest, None) is not None
-        quarantined = self._until.pop(digest, None) is not None
+        quarantined = self._quarantined_until.pop(digest, None) is not None
         return suspected or quarantined
 
     def put(self, digest: str, until: float) -> None:
         """Quarantine a request until a wall-clock time."""
         self._suspects.pop(digest, None)
-        self._until[digest] = until
-        while len(self._until) > MOST_QUARANTINED:
-            self._until.pop(min(self._until, key=self._until.__getitem__))
+        self._quarantined_until[digest] = until
+        while len(self._quarantined_until) > MAX_QUARANTINED:
+            self._quarantined_until.pop(
+                min(self._quarantined_until, key=self._quarantined_until.__getitem__)
+            )
 
     def lift(self, digest: str) -> None:
         """Let a request be sent again."""
-        self._until.pop(digest, None)
+        self._quarantined_until.pop(digest, None)
 
-    def _count(self, digest: str, end: TargetEnd, now: float) -> bool:
-        if self.find_pause(digest) is not None:
+    def _count_crash(self, digest: str, end: TargetCrash, now: float) -> bool:
+        if self.find_remaining_seconds(digest) is not None:
             return False
         suspect = self._suspects.pop(digest, None)
-        if suspect is None or suspect.until < now:
+        if suspect is None or suspect.expires_at < now:
             suspect = _Suspect()
-        suspect.targets.add(end.target)
-        suspect.until = now + SUSPECT_SECONDS
+        suspect.crashed_targets.add(end.target)
+        suspect.expires_at = now + SUSPECT_SECONDS
         self._suspects[digest] = suspect
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
-        if len(suspect.targets) < MOST_ENDS:
+        if len(suspect.crashed_targets) < CRASH_THRESHOLD:
             return False
         self.put(digest, now + QUARANTINE_SECONDS)
         return True
--- a/packages/fleet/src/ibisport_fleet/rate_limit.py
+++ b/packages/fleet/src/ibisport_fleet/rate_limit.py
@@ -11,7 +11,7 @@
 import xxhash
 
 # With each sender a window may hold one request more than its part.
-MORE_SENDERS = 2
+EXTRA_SENDERS = 2
 
 
 @dataclass(slots=True)
@@ -26,13 +26,15 @@
     """
 
     rate: float
-    heard_at: float
-    until: float
-    next_at: float
+    confirmed_at: float
+    expires_at: float
+    next_send_at: float
 
 
 @lru_cache(maxsize=1_024)
-def plan_gap(rate: float, target: str, host: str, hosts: frozenset[str]) -> float:
+def compute_send_interval(
+    rate: float, target: str, host: str, hosts: frozenset[str]
+) -> float:
     """Return the seconds between two sends of a router; infinite: it sends none.
 
     Args:
@@ -41,12 +43,12 @@
         host: The router's host.
         hosts: Hosts of all routers.
     """
-    ranked = sorted(hosts, key=lambda one: _draw(f'{target}|{one}'))
-    senders = ranked[: int(rate) + MORE_SENDERS]
+    ranked = sorted(hosts, key=lambda one: _hash(f'{target}|{one}'))
+    senders = ranked[: int(rate) + EXTRA_SENDERS]
     if host not in senders or not rate:
         return inf
     return len(senders) / rate
 
 
-def _draw(text: str) -> int:
+def _hash(text: str) -> int:
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/retry_budget.py
+++ b/packages/fleet/src/ibisport_fleet/retry_budget.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 # A share is held back, since windows of several routers don't begin together.
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 
 
 class RetryBudget:
@@ -26,12 +26,12 @@
                 sent is forgotten, so its part of the slack counts as used up
                 until a window has passed.
         """
-        self._slack_from = started + window
+        self._slack_available_at = started + window
         self.window = window
         self._ratio = ratio
         self._slack = slack
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
         """Count a request for the service."""
@@ -45,15 +45,15 @@
             routers: How many routers share the budget.
         """
         self._trim(now)
-        earned = self._ratio * len(self._requests) * SAFETY
-        slack = self._slack * SAFETY / max(1, routers)
-        allowed = earned + (slack if now >= self._slack_from else 0)
-        if len(self._repeats) + 1 > allowed:
+        earned = self._ratio * len(self._requests) * SAFETY_FACTOR
+        slack = self._slack * SAFETY_FACTOR / max(1, routers)
+        allowed = earned + (slack if now >= self._slack_available_at else 0)
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _trim(self, now: float) -> None:
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < now - self.window:
                 times.popleft()
--- a/packages/fleet/src/ibisport_fleet/target_choice.py
+++ b/packages/fleet/src/ibisport_fleet/target_choice.py
@@ -11,20 +11,20 @@
 # A target that owes bytes and sends none on any connection for so long has fallen
 # silent: kept connections to it would swallow requests for seconds. Engines send an
 # event each 25 ms and plain services answer within 450 ms.
-SILENT_SECONDS = 0.8
+SILENCE_TIMEOUT_SECONDS = 0.8
 # A part counts as cached where this router sent it within this time; engines hold
 # some thirty of the largest parts.
-CACHED_SECONDS = 10.0
-MOST_CACHED_PARTS = 64
+CACHE_LIFETIME_SECONDS = 10.0
+MAX_CACHED_PARTS = 64
 # A report older than this says nothing of a target whose requests last 0.1 to 2 s.
-REPORT_SECONDS = 2.0
+MAX_REPORT_AGE_SECONDS = 2.0
 # After a failure a target is avoided so long; doubled with each further one.
-FIRST_AVOIDANCE_S = 0.5
-LONGEST_AVOIDANCE_S = 4.0
+MIN_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 4.0
 # Another failure domain costs a plain request as much as this share of the slots.
-FOREIGN_DOMAIN_COST = 0.34
+REMOTE_DOMAIN_COST = 0.34
 # One that names a limit is spared as long as others have room.
-LIMITED_COST = 1.0
+RATE_LIMITED_COST = 1.0
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     pending_prompt_tokens: int = 0
     last_received_at: float = 0.0
     limit: RateLimit | None = None
-    _cached: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    _sent_parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
     def count_uncached_tokens(self, parts: Sequence[PromptPart], now: float) -> int:
         """Return the tokens of a prompt that it probably hasn't cached."""
@@ -64,16 +64,16 @@
 
     def has_cached(self, part_id: str, now: float) -> bool:
         """Whether a part was sent there lately."""
-        sent = self._cached.get(part_id)
-        return sent is not None and now - sent < CACHED_SECONDS
+        sent = self._sent_parts.get(part_id)
+        return sent is not None and now - sent < CACHE_LIFETIME_SECONDS
 
     def record_parts(self, parts: Sequence[PromptPart], now: float) -> None:
         """Note that it reads a prompt's shared parts."""
         for part in parts[:-1]:
-            self._cached[part.part_id] = now
-            self._cached.move_to_end(part.part_id)
-        while len(self._cached) > MOST_CACHED_PARTS:
-            self._cached.popitem(last=False)
+            self._sent_parts[part.part_id] = now
+            self._sent_parts.move_to_end(part.part_id)
+        while len(self._sent_parts) > MAX_CACHED_PARTS:
+            self._sent_parts.popitem(last=False)
 
     def record_load(self, load: TargetLoad, now: float) -> None:
         """Keep what the target told of its load."""
@@ -88,9 +88,9 @@
 
     def record_failure(self, now: float) -> None:
         """Avoid the target for a while, longer with each failure in a row."""
-        pause = FIRST_AVOIDANCE_S * 2**self.failures
+        pause = MIN_BACKOFF_SECONDS * 2**self.failures
         self.failures = min(self.failures + 1, 8)
-        self.backoff_until = now + min(pause, LONGEST_AVOIDANCE_S)
+        self.backoff_until = now + min(pause, MAX_BACKOFF_SECONDS)
 
     def begin_request(self, now: float) -> None:
         """Count a request that is sent there."""
@@ -104,9 +104,11 @@
 
     def is_silent(self, now: float) -> bool:
         """Whether it owes answers and has sent nothing for a while."""
-        return self.running > 0 and now - self.last_received_at > SILENT_SECONDS
+        return (
+            self.running > 0 and now - self.last_received_at > SILENCE_TIMEOUT_SECONDS
+        )
 
-    def is_trusted(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Whether it neither failed lately nor fell silent."""
         return self.backoff_until <= now and not self.is_silent(now)
 
@@ -116,7 +118,10 @@
 
     def estimate_load(self, now: float) -> int:
         """Return how many requests probably run or wait there."""
-        if self.reported_load is None or now - self.reported_at > REPORT_SECONDS:
+        if (
+            self.reported_load is None
+            or now - self.reported_at > MAX_REPORT_AGE_SECONDS
+        ):
             return self.running
         told = self.reported_load.running + self.reported_load.waiting
         return max(self.running, told + self.running - self.running_at_report)
@@ -140,35 +145,35 @@
         domain: The router's own failure domain.
         now: Loop time.
     """
-    trusted = keep_trusted(candidates, now)
+    trusted = filter_available(candidates, now)
     if not trusted:
         return None
-    return min(trusted, key=lambda one: _weigh_plain(one, domain, now))
+    return min(trusted, key=lambda one: _compute_plain_cost(one, domain, now))
 
 
-def _weigh_plain(candidate: Candidate, domain: str, now: float) -> float:
-    far = 0.0 if candidate.entry.domain == domain else FOREIGN_DOMAIN_COST
-    limited = 0.0 if candidate.health.limit is None else LIMITED_COST
-    return _share(candidate, now) + far + limited
+def _compute_plain_cost(candidate: Candidate, domain: str, now: float) -> float:
+    far = 0.0 if candidate.entry.domain == domain else REMOTE_DOMAIN_COST
+    limited = 0.0 if candidate.health.limit is None else RATE_LIMITED_COST
+    return _compute_utilization(candidate, now) + far + limited
 
 
-def _share(candidate: Candidate, now: float) -> float:
+def _compute_utilization(candidate: Candidate, now: float) -> float:
     slots = max(1, candidate.entry.slots)
     return candidate.health.estimate_load(now) / slots
 
 
-def keep_unlimited(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
+def filter_unlimited(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
     """Return the targets that name no limit, or all if each names one."""
     return [one for one in candidates if one.health.limit is None] or candidates
 
 
-def keep_trusted(candidates: Sequence[Candidate], now: float) -> list[Candidate]:
+def filter_available(candidates: Sequence[Candidate], now: float) -> list[Candidate]:
     """Return the targets that neither failed lately nor fell silent.
 
     Args:
         candidates: Targets that may be chosen.
         now: Loop time.
     """
-    trusted = [one for one in candidates if one.health.is_trusted(now)]
+    trusted = [one for one in candidates if one.health.is_available(now)]
     # With none left that is trusted, one that failed lately is better than none.
     return trusted or list(candidates)
--- a/packages/fleet/src/ibisport_fleet/targets.py
+++ b/packages/fleet/src/ibisport_fleet/targets.py
@@ -52,7 +52,7 @@
         self._entries: dict[str, TargetEntry] = {}
         self._lapsed: dict[str, TargetEntry] = {}
         # The newest start of each id that has left.
-        self._left: dict[str, int] = {}
+        self._departed_starts: dict[str, int] = {}
         self._lapsed_until = 0.0
 
     def __len__(self) -> int:
@@ -94,8 +94,8 @@
             return
         self._lapsed.pop(entry.incarnation, None)
         if entry.draining:
-            self._note_left(entry)
-        elif entry.started_at_ms <= self._left.get(entry.incarnation, -1):
+            self._record_departure(entry)
+        elif entry.started_at_ms <= self._departed_starts.get(entry.incarnation, -1):
             entry = replace(entry, draining=True)
         self._entries[entry.incarnation] = entry
 
@@ -103,15 +103,15 @@
         """Forget an entry that the store removed while it was at hand."""
         entry = self._entries.get(incarnation)
         if entry is not None:
-            self._note_left(entry)
-        self.set_aside(incarnation)
+            self._record_departure(entry)
+        self.drop(incarnation)
 
-    def set_aside(self, incarnation: str) -> None:
+    def drop(self, incarnation: str) -> None:
         """Use a target no more until it can be read again."""
         self._entries.pop(incarnation, None)
         self._lapsed.pop(incarnation, None)
 
-    def lapse(self, incarnation: str, until: float) -> None:
+    def mark_lapsed(self, incarnation: str, until: float) -> None:
         """Keep an entry that went while the store was away, up to a loop time."""
         entry = self._entries.get(incarnation)
         if entry is not None:
@@ -130,11 +130,11 @@
             listed.add(entry.incarnation)
             self.put(entry)
         for incarnation in set(self._entries) - listed:
-            self.lapse(incarnation, until)
+            self.mark_lapsed(incarnation, until)
 
-    def _note_left(self, entry: TargetEntry) -> None:
-        newest = self._left.get(entry.incarnation, -1)
-        self._left[entry.incarnation] = max(newest, entry.started_at_ms)
+    def _record_departure(self, entry: TargetEntry) -> None:
+        newest = self._departed_starts.get(entry.incarnation, -1)
+        self._departed_starts[entry.incarnation] = max(newest, entry.started_at_ms)
 
     def drop_lapsed(self, now: float) -> list[str]:
         """Forget lapsed entries whose time has run out, and return them."""
