--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,72 +1,74 @@
-Feature: A request under which targets end is not sent for ever
+Feature: Quarantine of requests that crash targets
 
-  Scenario: A request that ends each target that runs it is sent on without end
+  A fatal request crashes each target that runs it.
+
+  Scenario: A request that crashes each target is quarantined
     Given 4 routers and 6 targets
-    When a request that ends its target comes 4 times a second for 25 seconds
-    Then at most 3 targets get it later than 3 seconds after the third has ended
+    When a fatal request comes 4 times per second for 25 seconds
+    Then at most 3 targets get it later than 3 seconds after the third crash
     And at least 0.8 of the other requests are served
 
-  Scenario: Routers that start again send a request under which three targets ended
+  Scenario: Routers that restart at once keep the quarantine
     Given 4 routers and 6 targets
-    When it comes 4 times a second for 30 seconds and all routers are killed after 15
-    Then at most 3 targets get it later than 3 seconds after the third has ended
+    When a fatal request comes 4 times per second for 30 seconds and all routers are killed after 15
+    Then at most 3 targets get it later than 3 seconds after the third crash
 
-  Scenario: Routers that are replaced in turn don't know of the ends before their start
+  Scenario: Routers that restart in turn keep the quarantine
     Given 4 routers and 6 targets
-    When it comes 2 times a second for 30 seconds and a router is killed every 1.2 s
-    Then at most 3 targets get it later than 3 seconds after the third has ended
+    When a fatal request comes 2 times per second for 30 seconds and a router is killed every 1.2 seconds
+    Then at most 3 targets get it later than 3 seconds after the third crash
 
-  Scenario: Routers that can't reach the store learn of a fatal request one by one
+  Scenario: Routers without the store notify each other of a fatal request
     Given 4 routers and 6 targets
-    When it comes 4 times a second for 25 seconds while the store is down
-    Then at most 3 targets get it later than 3 seconds after the third has ended
+    When a fatal request comes 4 times per second for 25 seconds while the store is down
+    Then at most 3 targets get it later than 3 seconds after the third crash
 
-  Scenario: A router that was cut off sends a request that the others know to be fatal
+  Scenario: A router learns of a quarantine after it was cut off
     Given 4 routers and 6 targets
-    When it comes 4 times a second for 30 seconds and one router is cut off for 8
+    When a fatal request comes 4 times per second for 30 seconds and one router is cut off for 8
     Then the router that was cut off sends it at most 3 times from 3 seconds after the cut
 
-  Scenario: Requests that run on targets that crash for other causes are still served
+  Scenario: Requests are served that run on targets that crash for other reasons
     Given 4 routers and 6 targets
-    When the same harmless requests come 10 times a second while targets crash each second
+    When the same harmless requests come 10 times per second while targets crash every second
     Then each router serves the harmless requests again afterwards
 
-  Scenario: Broken connections are taken for ends of targets
+  Scenario: Broken connections don't count as crashes
     Given 4 routers and 6 targets
-    When the same requests are broken off again and again by resets
+    When the connections of the same requests are reset repeatedly
     Then each router serves the harmless requests again afterwards
 
-  Scenario: Planned stops are taken for ends under the requests that they break off
+  Scenario: Planned stops don't count as crashes
     Given 4 routers and 6 targets
-    When all targets leave while each runs the same long request
+    When all targets drain and stop while each runs the same long request
     Then each router serves the harmless requests again afterwards
 
-  Scenario: Many different fatal requests take no more than their room
-    Given a quarantine
-    When 3 targets each end under 6000 different requests
-    Then it watches at most 4096 and keeps at most 512 of them
+  Scenario: The numbers of suspected and quarantined requests are bounded
+    Given an empty quarantine
+    When 3 targets each crash under 6000 different requests
+    Then at most 4096 requests are suspected and at most 512 are quarantined
 
-  Scenario: An answer clears a request under which targets ended
-    Given a quarantine
-    When 2 targets end under a request, it gets an answer, and 2 more end
+  Scenario: An answer clears a suspected request
+    Given an empty quarantine
+    When 2 targets crash under a request, it gets an answer, and 2 more crash
     Then the request may be sent
 
-  Scenario: Routers that quarantine requests at once keep each other's in the store
+  Scenario: Routers that quarantine requests concurrently keep all of them in the store
     Given 5 routers' copies of the quarantine over one store
     When each quarantines a request of its own at the same time
-    Then the store's page and all copies hold all 5
+    Then the store's page and all copies contain all 5
 
-  Scenario: A quarantine that its finder can't save is saved by another router
+  Scenario: A quarantine that its router can't save is saved by another router
     Given 5 routers' copies of the quarantine over one store
-    When one that can't reach the store quarantines a request and tells the others
-    Then the store's page holds it within 10 seconds
+    When one that can't reach the store quarantines a request and notifies the others
+    Then the store's page contains it within 10 seconds
 
-  Scenario: An operator removes the page, and the requests may be sent again
+  Scenario: Removing the page lifts the quarantine
     Given 5 routers' copies of the quarantine over one store
     When each quarantines a request of its own, and the page is removed later
-    Then no copy holds any, and the store has no page
+    Then no copy contains any, and the store has no page
 
-  Scenario: A page that can't be read is replaced
+  Scenario: An invalid page is replaced
     Given 5 routers' copies of the quarantine over one store
-    When the page can't be read and each quarantines a request of its own
-    Then the store's page and all copies hold all 5
+    When the page is invalid and each quarantines a request of its own
+    Then the store's page and all copies contain all 5
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on membership, the ways to the store, retries, plans, logs and headers."""
+"""Steps on copies of the store's data, store calls, retries, engines and the log."""
 
 import asyncio
 import os
@@ -32,8 +32,8 @@
 from ibisport_fleet.watch_schedule import plan_router_watch
 
 KEY = 'servers/i-0'
-WINDOW = 10.0
-MOST_SECONDS = 0.5
+WINDOW_SECONDS = 10.0
+MAX_CALL_SECONDS = 0.5
 AT_ONCE_SECONDS = 0.05
 
 
@@ -45,7 +45,7 @@
 
 
 async def _follow(service, view, prefix='servers/'):
-    """Start to follow a prefix; return once it is listed."""
+    """Start a watch of a prefix; return its task after the first listing."""
     loop = asyncio.get_running_loop()
     contact = StoreContact(loop.time())
     store = service.open_store('router')
@@ -79,12 +79,12 @@
     context.start = start
 
 
-def _check_later(context, run, delays):
-    """Play a story; return whether the target serves after each delay."""
+def _run_and_check(context, act, delays):
+    """Run a scenario; return whether the target serves after each further delay."""
 
     async def play():
         site = await context.start()
-        await run(site)
+        await act(site)
         served = []
         for delay in delays:
             await asyncio.sleep(delay)
@@ -105,7 +105,7 @@
         site.service.faults.cut = set()
         await asyncio.sleep(1.2)
 
-    context.served = _check_later(context, run, [0.1])
+    context.served = _run_and_check(context, run, [0.1])
 
 
 @when('the store is down for {seconds:d} seconds and the entry is gone after it')
@@ -117,10 +117,13 @@
         site.service.faults.down = False
         await asyncio.sleep(0.3)
 
-    context.served = _check_later(context, run, [1.2, 1.5])
+    context.served = _run_and_check(context, run, [1.2, 1.5])
 
 
-@when('the store is down for {down:d} seconds and the target leaves {after:d} s later')
+@when(
+    'the store is down for {down:d} seconds '
+    'and the target leaves {after:d} seconds later'
+)
 def leave_after_outage(context, down, after):
     async def run(site):
         site.service.faults.down = True
@@ -129,7 +132,7 @@
         await asyncio.sleep(after)
         site.service.remove(KEY)
 
-    context.served = _check_later(context, run, [0.01, 1.0])
+    context.served = _run_and_check(context, run, [0.01, 1.0])
 
 
 @when('the target drains and its entry says ready again')
@@ -139,12 +142,12 @@
         await asyncio.sleep(0.1)
         site.service.put(KEY, b'ready')
 
-    context.served = _check_later(context, run, [0.1])
+    context.served = _run_and_check(context, run, [0.1])
 
 
-@then('the target gets nothing more within 0.1 seconds of the listing')
-@then('the target gets nothing more 3 seconds after it')
-@then('the target gets nothing more')
+@then('the target gets no requests 0.1 seconds after the listing')
+@then('the target gets no requests 3 seconds after it')
+@then('the target gets no requests')
 def check_gone(context):
     assert not context.served[-1], context.served
 
@@ -154,7 +157,7 @@
     assert context.served[0], context.served
 
 
-@given("a router's view of the catalogue at version {version:d}")
+@given("a router's copy of the catalogue at version {version:d}")
 def make_view(context, version):
     def decode(item):
         return Catalogue(int(item.content), item.revision, (), {}, {}, {}, False)
@@ -164,19 +167,19 @@
     context.view.apply_listing(Listing((item,), 9), 0.0)
 
 
-@when('version {version:d} is read from a stale page')
+@when('version {version:d} is read from a stale listing')
 def read_stale(context, version):
     item = Item('op/config', b'%d' % version, 4)
     context.view.apply_listing(Listing((item,), 9), 0.0)
 
 
-@then('the view stays at version {version:d}')
+@then('the copy stays at version {version:d}')
 def check_version(context, version):
     assert context.view.current.version == version
 
 
 @given(
-    'a router that follows a catalogue of {size:d} bytes over {rate:d} bytes a second'
+    'a router that follows a catalogue of {size:d} bytes over {rate:d} bytes per second'
 )
 def follow_slowly(context, size, rate):
     context.size = size
@@ -187,23 +190,23 @@
 def change_often(context, count):
     async def play():
         service = MemoryService()
-        service.put('op/config', _number(0, context.size))
+        service.put('op/config', _make_content(0, context.size))
         service.faults.bytes_per_second = context.rate
         view = NewestContent()
         task = await _follow(service, view, 'op/')
         service.faults.cut = {'router'}
         for number in range(1, count + 1):
-            service.put('op/config', _number(number, context.size))
+            service.put('op/config', _make_content(number, context.size))
             await asyncio.sleep(0.1)
         service.faults.cut = set()
         await asyncio.sleep(2.0)
         task.cancel()
-        return view.content, _number(count, context.size)
+        return view.content, _make_content(count, context.size)
 
     context.contents = run_virtually(play())
 
 
-def _number(number, size):
+def _make_content(number, size):
     return b'%d' % number + bytes(size)
 
 
@@ -215,45 +218,47 @@
 
 @given('{count:d} routers that were all restarted, with a slack of {slack:d}')
 def make_retries(context, count, slack):
-    context.budgets = [RetryBudget(0.2, slack, WINDOW, 0.0) for _ in range(count)]
+    context.budgets = [
+        RetryBudget(0.2, slack, WINDOW_SECONDS, 0.0) for _ in range(count)
+    ]
 
 
-@when('each takes as many second sends as it can within the first window')
+@when('each makes as many retries as it can within the first window')
 def take_all(context):
     context.requests = 0
-    context.taken = 0
+    context.retries = 0
     for step in range(90):
         now = step * 0.1
         for budget in context.budgets:
             budget.record_request(now)
             context.requests += 1
             while budget.try_acquire(now, 1):
-                context.taken += 1
+                context.retries += 1
 
 
-@then('the fleet has made no more than a fifth of its requests')
+@then('the fleet has made no more retries than a fifth of its requests')
 def check_taken(context):
-    assert 0 < context.taken <= context.requests / 5, context.taken
+    assert 0 < context.retries <= context.requests / 5, context.retries
 
 
 @then('after a window it may use its slack')
 def check_slack(context):
-    assert context.budgets[0].try_acquire(WINDOW + 1, 5)
+    assert context.budgets[0].try_acquire(WINDOW_SECONDS + 1, 5)
 
 
-class _Ways:
-    """A caller whose straight way is silent; its relay answers in 10 ms."""
+class _SilentDirectPath:
+    """A store transport whose direct path is silent; its relay answers in 10 ms."""
 
     def __init__(self):
-        place = RelayEndpoint(('10.0.0.2', 7200), 'd')
-        self.paths = StorePaths(('10.0.0.1', 80), 'd', lambda: [place])
-        self.caller = StoreTransport(self.paths, open_null_log())
-        self.caller.send_on_path = self.send_on_path
-        self.asked = []
+        relay = RelayEndpoint(('10.0.0.2', 7200), 'd')
+        self.paths = StorePaths(('10.0.0.1', 80), 'd', lambda: [relay])
+        self.transport = StoreTransport(self.paths, open_null_log())
+        self.transport.send_on_path = self.send_on_path
+        self.addresses = []
 
     async def send_on_path(self, attempt, until):
         address = attempt.address
-        self.asked.append(address)
+        self.addresses.append(address)
         if address == self.paths.direct:
             await asyncio.sleep(60)
         await asyncio.sleep(0.01)
@@ -261,22 +266,22 @@
         return 'answer'
 
 
-@given('a store whose straight way is silent, and a relay')
-def make_ways(context):
-    context.ways = None
+@given('a store whose direct path is silent, and a relay')
+def make_paths(context):
+    context.paths = None
 
 
 @when('a call is made twice')
 def call_twice(context):
     async def run():
-        context.ways = _Ways()
+        context.paths = _SilentDirectPath()
         call = StoreCall(CallKind.read, b'GET / HTTP/1.1', (), b'', 0.9)
         loop = asyncio.get_running_loop()
         times = []
         for _ in range(2):
-            begun = loop.time()
-            assert await context.ways.caller.send(call) == 'answer'
-            times.append(loop.time() - begun)
+            started_at = loop.time()
+            assert await context.paths.transport.send(call) == 'answer'
+            times.append(loop.time() - started_at)
         return times
 
     context.times = run_virtually(run())
@@ -284,16 +289,16 @@
 
 @then('both calls are answered within 0.5 virtual seconds')
 def check_times(context):
-    assert max(context.times) < MOST_SECONDS, context.times
+    assert max(context.times) < MAX_CALL_SECONDS, context.times
 
 
 @then('the second call goes over the relay at once')
 def check_relay(context):
-    assert context.ways.asked[2] == ('10.0.0.2', 7200), context.ways.asked
+    assert context.paths.addresses[2] == ('10.0.0.2', 7200), context.paths.addresses
     assert context.times[1] < AT_ONCE_SECONDS, context.times
 
 
-@when('answers are lost for 5 seconds and a second way brings the conflict')
+@when('answers are lost for 5 seconds and a second path brings the conflict')
 def lose_answers(context):
     async def run():
         world = await context.prepare()
@@ -327,38 +332,38 @@
 
 @when('{count:d} events are written')
 def write_events(context, count):
-    begun = time.process_time()
+    started_at = time.process_time()
     for number in range(count):
         context.log.write(Event.request_served, request='x' * 200, number=number)
         context.log.refill(1.0)
-    context.spent = time.process_time() - begun
+    context.spent = time.process_time() - started_at
 
 
-@then('none of the writes waits')
-def check_no_wait(context):
-    # A write that waited would hang the scenario: nobody reads the pipe.
+@then('none of the writes blocks')
+def check_not_blocked(context):
+    # Nothing reads the pipe, so a write that blocked would hang the scenario.
     assert context.log.dropped > 1_000, context.log.dropped
 
 
-@then('the reader later finds how many lines were left out')
+@then('the reader later finds how many lines were dropped')
 def check_dropped(context):
-    before = context.log.dropped
+    dropped_lines = context.log.dropped
     os.set_blocking(context.reading, False)
     text = os.read(context.reading, 1_000_000)
     context.log.write(Event.request_served, request='last')
     text += os.read(context.reading, 1_000_000)
     lines = [msgspec.json.decode(line) for line in text.splitlines()]
-    told = [line['lines'] for line in lines if line['event'] == Event.lines_dropped]
-    assert told == [before], (told, before)
+    reported = [line['lines'] for line in lines if line['event'] == Event.lines_dropped]
+    assert reported == [dropped_lines], (reported, dropped_lines)
 
 
-@given('two engines of which one has fallen silent with a request on its way')
+@given('two engines of which one is silent with a request in flight')
 def make_engines(context):
     context.engines = [build_engine(number) for number in range(2)]
     context.parts = (PromptPart('shared', 6_000), PromptPart('own', 10))
-    home = choose_engine(context.engines, context.parts, 0.0)
-    home.health.begin_request(0.0)
-    context.home = home
+    preferred = choose_engine(context.engines, context.parts, 0.0)
+    preferred.health.begin_request(0.0)
+    context.preferred = preferred
 
 
 @when('an engine is chosen 0.5 and 1 seconds later')
@@ -368,14 +373,14 @@
     ]
 
 
-@then("the silent one is its prompt's home at first, and left alone then")
-def check_left(context):
-    assert context.chosen[0] is context.home
-    assert context.chosen[1] is not context.home
+@then('the silent engine is chosen at first, as the preferred one, and avoided later')
+def check_avoided(context):
+    assert context.chosen[0] is context.preferred
+    assert context.chosen[1] is not context.preferred
 
 
 @given('a store with a watch that is about to answer')
-def note_watch(context):
+def make_watched_store(context):
     context.service = MemoryService()
 
 
@@ -389,12 +394,14 @@
         )
         await asyncio.sleep(1.0)
         service.put('key/1', b'')
-        # Half of the way of the answer.
+        # The answer takes half of the round trip; this is the middle of its way.
         await asyncio.sleep(ANSWER_SECONDS / 4)
         service.put('key/2', b'')
         first = await watching
         second = await store.watch('key/', first.revision, WatchOptions(5.0))
-        context.seen = [[one.key for one in found.changes] for found in (first, second)]
+        context.seen = [
+            [change.key for change in batch.changes] for batch in (first, second)
+        ]
 
     run_virtually(play())
 
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on placing prompts on engines."""
+"""Steps on the placement of prompts on model engines."""
 
 import random
 from collections import Counter
@@ -17,9 +17,9 @@
 from ibisport_fleet.targets import TargetEntry
 
 SEEDS = (1, 2, 3)
-MOST_SHORT_PAUSED = 0.01
-EVEN_SHARE = 0.75
-SHARES = (0.02, 0.4, EVEN_SHARE, 0.99)
+MAX_SHORT_PAUSED_SHARE = 0.01
+SPREAD_SHARE = 0.75
+SHARES = (0.02, 0.4, SPREAD_SHARE, 0.99)
 
 
 @when('a minute of long and short prompts is placed on eight engines')
@@ -30,43 +30,47 @@
 
 @then('less than 1 % of the short answers pause too long')
 def check_short(context):
-    paused = [seen.short_paused for seen in context.shipped]
-    assert max(paused) < MOST_SHORT_PAUSED, paused
-    # The load is one under which a plain choice does let them pause.
-    assert min(seen.short_paused for seen in context.baseline) > MOST_SHORT_PAUSED
+    paused = [result.short_paused for result in context.shipped]
+    assert max(paused) < MAX_SHORT_PAUSED_SHARE, paused
+    # The load is high enough that the least-running choice does pause them.
+    assert (
+        min(result.short_paused for result in context.baseline) > MAX_SHORT_PAUSED_SHARE
+    )
 
 
 @then('less than 1 % of the short answers pause too long on them')
-def check_short_on_fast(context):
-    assert max(seen.short_paused for seen in context.shipped) < MOST_SHORT_PAUSED
+def check_short_on_fast_engines(context):
+    assert (
+        max(result.short_paused for result in context.shipped) < MAX_SHORT_PAUSED_SHARE
+    )
 
 
 @then('no more long answers pause than with the least-running choice')
 def check_long(context):
-    shipped = sum(seen.long_paused for seen in context.shipped)
-    baseline = sum(seen.long_paused for seen in context.baseline)
+    shipped = sum(result.long_paused for result in context.shipped)
+    baseline = sum(result.long_paused for result in context.baseline)
     assert shipped <= baseline, (shipped, baseline)
 
 
-@then('all routers came to keep long prompts apart')
+@then('all routers keep long prompts apart in the end')
 def check_apart(context):
-    assert {seen.apart for seen in context.shipped} == {ROUTERS}
+    assert {result.apart for result in context.shipped} == {ROUTERS}
 
 
-@when('the same prompts are placed on engines that read fast enough')
-def place_on_fast(context):
+@when('the same prompts are placed on engines that read fast')
+def place_on_fast_engines(context):
     context.shipped = [play(choose_engine, seed, FAST_READERS) for seed in SEEDS]
     context.baseline = [play(choose_mixed, seed, FAST_READERS) for seed in SEEDS]
 
 
-@then('no router keeps long prompts apart')
+@then('no router keeps long prompts apart in the end')
 def check_mixed(context):
-    assert {seen.apart for seen in context.shipped} == {0}
+    assert {result.apart for result in context.shipped} == {0}
     assert context.shipped == context.baseline
 
 
-@when('any engines are listed in any order')
-def list_engines(context):
+@when('generated lists of engines are split in two orders')
+def split_engines(context):
     rng = random.Random(5)
     context.listed = []
     for _ in range(100):
@@ -85,25 +89,27 @@
             context.listed.append((engines, share, *listed))
 
 
-@then('the engines for long prompts are the same, as many as their share')
-def check_same(context):
+@then('both orders give the same engines for long prompts, as many as their share')
+def check_same_engines(context):
     for engines, share, listed, shuffled in context.listed:
         assert listed == shuffled
-        # One of each kind stays, however small its share.
-        wished = round(share * len(engines))
-        assert len(listed) == min(max(1, wished), len(engines) - 1)
+        # Each pool has at least one engine, however small its share.
+        wanted = round(share * len(engines))
+        assert len(listed) == min(max(1, wanted), len(engines) - 1)
 
 
-@then('each domain with two engines keeps one of each kind while it can')
-def check_even(context):
-    even = [
+@then('each domain has one or two engines for long prompts at a share of 0.75')
+def check_spread(context):
+    at_share = [
         (engines, listed)
         for engines, share, listed, _ in context.listed
-        if share == EVEN_SHARE
+        if share == SPREAD_SHARE
     ]
-    for engines, listed in even:
-        readers = Counter(
-            one.entry.domain for one in engines if one.entry.incarnation in listed
+    for engines, listed in at_share:
+        counts = Counter(
+            engine.entry.domain
+            for engine in engines
+            if engine.entry.incarnation in listed
         )
-        assert set(readers) == {one.entry.domain for one in engines}
-        assert max(readers.values()) <= 2
+        assert set(counts) == {engine.entry.domain for engine in engines}
+        assert max(counts.values()) <= 2
--- a/features/steps/quarantinepage_steps.py
+++ b/features/steps/quarantinepage_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is known of fatal requests, and its page in the store."""
+"""Steps on the quarantine and its page in the store."""
 
 import asyncio
 from types import SimpleNamespace
@@ -12,39 +12,42 @@
 from ibisport_fleet.quarantine import Quarantine, TargetCrash
 from ibisport_fleet.quarantine_store import PAGE_KEY, QuarantineStore, decode_page
 
-LISTING_PAUSE_S = 1.5
-SETTLING_S = 10.0
+LISTING_INTERVAL_SECONDS = 1.5
+SETTLING_SECONDS = 10.0
 UNTIL = 1e10
 FIRST = 'request-0'
 
 
-def _stand_still():
+def _read_stopped_clock():
     return 0.0
 
 
-@given('a quarantine')
+@given('an empty quarantine')
 def make_quarantine(context):
-    context.quarantine = Quarantine(_stand_still)
+    context.quarantine = Quarantine(_read_stopped_clock)
 
 
-@when('{ends:d} targets each end under {count:d} different requests')
-def end_under_many(context, ends, count):
+@when('{crashes:d} targets each crash under {count:d} different requests')
+def crash_under_many(context, crashes, count):
     for number in range(count):
-        for target in range(ends):
-            end = TargetCrash(f'i-{number}-{target}', (f'd-{number}',))
-            context.quarantine.record_crash(end)
+        for target in range(crashes):
+            crash = TargetCrash(f'i-{number}-{target}', (f'd-{number}',))
+            context.quarantine.record_crash(crash)
     for number in range(count):
         context.quarantine.record_crash(TargetCrash('i-last', (f'other-{number}',)))
 
 
-@then('it watches at most {suspects:d} and keeps at most {kept:d} of them')
-def check_bounds(context, suspects, kept):
+@then(
+    'at most {suspects:d} requests are suspected '
+    'and at most {quarantined:d} are quarantined'
+)
+def check_bounds(context, suspects, quarantined):
     quarantine = context.quarantine
     assert 0 < quarantine.suspects <= suspects, quarantine.suspects
-    assert 0 < len(quarantine.entries) <= kept, len(quarantine.entries)
+    assert 0 < len(quarantine.entries) <= quarantined, len(quarantine.entries)
 
 
-@when('2 targets end under a request, it gets an answer, and 2 more end')
+@when('2 targets crash under a request, it gets an answer, and 2 more crash')
 def answer_between(context):
     quarantine = context.quarantine
     for target in ('i-1', 'i-2'):
@@ -65,43 +68,43 @@
 
 
 class _Copy:
-    """One router's quarantine, its part in the store, and its listings."""
+    """One router's quarantine, synchronized with the store and listed periodically."""
 
     def __init__(self, service, number):
         self.store = service.open_store(f'router-{number}')
-        self.quarantine = Quarantine(_stand_still)
-        self.saved = QuarantineStore(self.quarantine, self.store, open_null_log())
+        self.quarantine = Quarantine(_read_stopped_clock)
+        self.page_store = QuarantineStore(self.quarantine, self.store, open_null_log())
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self.saved.run())]
+        self.tasks = [loop.create_task(self.page_store.run())]
         self.tasks.append(loop.create_task(self._list()))
 
     def put(self, digest, *, own=True):
-        """Quarantine a request here, and let it be saved."""
+        """Quarantine a request at this router and schedule the write."""
         self.quarantine.put(digest, UNTIL)
-        self.saved.save(digest, UNTIL, own=own)
+        self.page_store.save(digest, UNTIL, own=own)
 
     async def _list(self):
         while True:
             listing = await self.store.scan(SHARED_PREFIX, stale=True)
-            self.saved.apply_listing(listing)
-            await asyncio.sleep(LISTING_PAUSE_S)
+            self.page_store.apply_listing(listing)
+            await asyncio.sleep(LISTING_INTERVAL_SECONDS)
 
 
-def _play(context, act):
-    """Let copies be acted on; keep them and the page as it is at last."""
+def _run(context, act):
+    """Run an action on the copies; keep the final copies and the final page."""
 
-    async def play():
+    async def run():
         service = MemoryService()
         copies = [_Copy(service, number) for number in range(context.count)]
         await act(SimpleNamespace(service=service, copies=copies))
-        await asyncio.sleep(SETTLING_S)
+        await asyncio.sleep(SETTLING_SECONDS)
         for copy in copies:
             for task in copy.tasks:
                 task.cancel()
         context.copies = [set(copy.quarantine.entries) for copy in copies]
         context.page = service.items.get(PAGE_KEY)
 
-    run_virtually(play())
+    run_virtually(run())
 
 
 async def _put_all(world):
@@ -110,11 +113,11 @@
 
 
 @when('each quarantines a request of its own at the same time')
-def put_at_once(context):
-    _play(context, _put_all)
+def put_concurrently(context):
+    _run(context, _put_all)
 
 
-@when("one that can't reach the store quarantines a request and tells the others")
+@when("one that can't reach the store quarantines a request and notifies the others")
 def put_without_store(context):
     async def act(world):
         world.service.faults.cut.add('router-0')
@@ -122,42 +125,42 @@
         for copy in world.copies:
             copy.put(FIRST, own=copy is world.copies[0])
 
-    _play(context, act)
+    _run(context, act)
 
 
 @when('each quarantines a request of its own, and the page is removed later')
 def remove_page(context):
     async def act(world):
         await _put_all(world)
-        await asyncio.sleep(SETTLING_S)
+        await asyncio.sleep(SETTLING_SECONDS)
         assert PAGE_KEY in world.service.items
         world.service.remove(PAGE_KEY)
 
-    _play(context, act)
+    _run(context, act)
 
 
-@when("the page can't be read and each quarantines a request of its own")
-def spoil_page(context):
+@when('the page is invalid and each quarantines a request of its own')
+def invalidate_page(context):
     async def act(world):
         world.service.put(PAGE_KEY, b'{"until": 3')
         await _put_all(world)
 
-    _play(context, act)
+    _run(context, act)
 
 
-@then("the store's page and all copies hold all {count:d}")
-def check_all_held(context, count):
+@then("the store's page and all copies contain all {count:d}")
+def check_all_contained(context, count):
     expected = {f'request-{number}' for number in range(count)}
     assert set(decode_page(context.page).until) == expected, context.page
-    assert all(one == expected for one in context.copies), context.copies
+    assert all(entries == expected for entries in context.copies), context.copies
 
 
-@then("the store's page holds it within 10 seconds")
+@then("the store's page contains it within 10 seconds")
 def check_saved(context):
     assert FIRST in decode_page(context.page).until
 
 
-@then('no copy holds any, and the store has no page')
+@then('no copy contains any, and the store has no page')
 def check_lifted(context):
     assert not any(context.copies), context.copies
     assert context.page is None
--- a/features/steps/ratelimit_steps.py
+++ b/features/steps/ratelimit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the parts of a rate limit, and on what other routers say of one."""
+"""Steps on the shares of a rate limit and on notices of other routers."""
 
 import asyncio
 from math import isfinite
@@ -29,7 +29,7 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-WINDOW_S = 4.0
+WINDOW_SECONDS = 4.0
 TARGET = 'i-1'
 RATE = 2.4
 HOSTS = frozenset(f'router-{number}' for number in range(30))
@@ -44,53 +44,53 @@
     @forall(strategies.floats(0, 500), strategies.integers(1, 200))
     def divide_one(rate, routers):
         hosts = frozenset(f'router-{number}' for number in range(routers))
-        gaps = [compute_send_interval(rate, TARGET, host, hosts) for host in hosts]
-        sending = [gap for gap in gaps if isfinite(gap)]
-        # A closed window holds one send more than its length has gaps.
-        most = sum(WINDOW_S / gap + 1 for gap in sending)
-        assert most <= 1.5 * WINDOW_S * rate + 5, (rate, routers, most)
-        total = sum(1 / gap for gap in sending)
+        intervals = [compute_send_interval(rate, TARGET, host, hosts) for host in hosts]
+        sending = [interval for interval in intervals if isfinite(interval)]
+        # A closed window can contain one send more than it has intervals.
+        max_sends = sum(WINDOW_SECONDS / interval + 1 for interval in sending)
+        assert max_sends <= 1.5 * WINDOW_SECONDS * rate + 5, (rate, routers, max_sends)
+        total = sum(1 / interval for interval in sending)
         assert abs(total - rate) <= 1e-6 * max(1.0, rate), (rate, routers, total)
         context.divided += 1
 
     divide_one()
 
 
-@then('the parts make the limit, and no window holds more than it may')
+@then('the shares add up to the limit, and no window exceeds its bound')
 def check_divided(context):
     assert context.divided >= 100, context.divided
 
 
-@given('four engines of which the home of a prompt names a limit')
-def limit_home(context):
+@given('four engines of which the preferred one of a prompt is limited')
+def limit_preferred(context):
     context.engines = [build_engine(number) for number in range(4)]
-    context.home = choose_engine(context.engines, PARTS, 0.0)
-    context.home.health.limit = RateLimit(RATE, 0.0, 60.0, 0.0)
+    context.preferred = choose_engine(context.engines, PARTS, 0.0)
+    context.preferred.health.limit = RateLimit(RATE, 0.0, 60.0, 0.0)
 
 
 @when('two routers choose an engine for its prompt')
 def choose_twice(context):
-    # The other router lists the engines in another order.
+    # The second router lists the engines in reverse order.
     orders = (context.engines, list(reversed(context.engines)))
     context.chosen = [choose_engine(engines, PARTS, 0.0) for engines in orders]
 
 
-@then('both take the same engine, and another one than the limited')
-def check_home(context):
+@then('both choose the same engine, and not the limited one')
+def check_unlimited_choice(context):
     first, second = context.chosen
     assert first is second
-    assert first is not context.home
+    assert first is not context.preferred
 
 
 class _Router:
-    """The limits of one router, without a network."""
+    """The target limits of one router, without a network."""
 
     def __init__(self):
         self.candidate = build_engine(1)
         entry = self.candidate.entry
         listed = SimpleNamespace(find={TARGET: entry}.get)
         targets = SimpleNamespace(
-            targets=listed, find_health=lambda start: self.candidate.health
+            targets=listed, find_health=lambda start_id: self.candidate.health
         )
         members = SimpleNamespace(own=SimpleNamespace(host='router-0'), hosts=HOSTS)
         self.notices = []
@@ -99,57 +99,57 @@
 
     @property
     def rate(self):
-        """What the target is believed to take."""
+        """The known rate limit of the target, or None."""
         limit = self.candidate.health.limit
         return None if limit is None else limit.rate
 
-    async def take(self, *notice):
-        """Take another router's notice."""
+    async def handle(self, *notice):
+        """Handle a notice of another router."""
         content = msgspec.json.encode(LimitNotice(*notice))
         await self.limits.handlers[LIMITS_PATH](content)
 
     def answer(self, rate, sent_at):
-        """Take an answer to a request of this router."""
+        """Apply an answer to a request of this router."""
         call = SimpleNamespace(
             target=TARGET, sent_at=sent_at, terms=SimpleNamespace(request_id='r')
         )
         self.limits.apply_answer(call, self.candidate.health, rate)
 
 
-def _load_notice(notice):
+def _decode_notice(notice):
     return msgspec.json.decode(notice[1], type=LimitNotice)
 
 
-def _play(act):
-    async def play():
+def _run(act):
+    async def run():
         router = _Router()
         await act(router)
         return router
 
-    return run_virtually(play())
+    return run_virtually(run())
 
 
-@when('another router says that a target names a limit, and that it has ended')
-def take_notices(context):
+@when("another router sends notices of a target's limit, its change and its end")
+def send_notices(context):
     context.rates = []
 
     async def act(router):
         for rate in (RATE, RATE / 2, None):
-            await router.take(TARGET, rate)
+            await router.handle(TARGET, rate)
             context.rates.append(router.rate)
-        await router.take('i-unknown', 1.0)
+        await router.handle('i-unknown', 1.0)
 
-    context.router = _play(act)
+    context.router = _run(act)
 
 
-@then('this router goes by it, and passes nothing on')
+@then('this router applies each notice and forwards none')
 def check_notices(context):
     assert context.rates == [RATE, RATE / 2, None], context.rates
     assert not context.router.notices
 
 
-@when('other routers send limits that are none')
-def take_nonsense(context):
+@when('other routers send invalid limits')
+def send_invalid_notices(context):
     context.refused = 0
 
     async def act(router):
@@ -159,17 +159,17 @@
             except PeerUnavailable:
                 context.refused += 1
 
-    context.router = _play(act)
+    context.router = _run(act)
 
 
 @then('each is refused, and no limit is known')
-def check_nonsense(context):
+def check_invalid_notices(context):
     assert context.refused == 3
     assert context.router.rate is None
 
 
-@when('an answer without a limit comes to a request from before the limit was named')
-def answer_late(context):
+@when('an answer without a limit arrives for a request from before the limit')
+def answer_early_request(context):
     async def act(router):
         loop = asyncio.get_running_loop()
         await asyncio.sleep(1.0)
@@ -179,30 +179,30 @@
         await asyncio.sleep(1.0)
         router.answer(None, loop.time())
 
-    context.router = _play(act)
+    context.router = _run(act)
 
 
-@then('the limit holds until an answer to a later request names none')
-def check_late(context):
+@then('the limit holds until an answer to a later request reports none')
+def check_limit_held(context):
     assert context.kept == RATE
     assert context.router.rate is None
-    told = [_load_notice(one) for one in context.router.notices]
-    assert [one.rate for one in told] == [RATE, None]
+    decoded = [_decode_notice(notice) for notice in context.router.notices]
+    assert [limit.rate for limit in decoded] == [RATE, None]
 
 
-@when('no router tells of the end of a limit')
+@when('no router sends a notice of the end of a limit')
 def wait_for_end(context):
     async def act(router):
         loop = asyncio.get_running_loop()
-        await router.take(TARGET, 0.0)
+        await router.handle(TARGET, 0.0)
         context.open = []
         for _ in range(2):
             await asyncio.sleep(LIMIT_LIFETIME_SECONDS)
             context.open.append(router.limits.may_send(router.candidate, loop.time()))
 
-    context.router = _play(act)
+    context.router = _run(act)
 
 
 @then('this router tries the target again after one to two minutes')
-def check_tried(context):
+def check_retried(context):
     assert context.open == [False, True], context.open
--- a/features/steps/targetlimits_steps.py
+++ b/features/steps/targetlimits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on targets that name a rate limit."""
+"""Steps on targets that report a rate limit."""
 
 import asyncio
 from bisect import bisect_right
@@ -6,15 +6,16 @@
 from behave import then, when
 from running_fleet import CONVERGENCE_SECONDS, START_SECONDS, run_fleet
 
-PAUSE_S = 0.02
-NAMED_AFTER_S = 2.0
-AFTERWARDS_S = 8.0
-WINDOW_S = 4.0
+REQUEST_INTERVAL_SECONDS = 0.02
+LIMITED_AFTER_SECONDS = 2.0
+AFTERWARDS_SECONDS = 8.0
+WINDOW_SECONDS = 4.0
 FACTOR = 1.5
 SLACK = 5
-# A router that was told so lately may have sent before it could know.
-TOLD_S = 0.5
-UNAVAILABLE = 503
+# A request within this time after a router was first told of the limit may have been
+# sent before the router could know it.
+TOLD_GRACE_SECONDS = 0.5
+STATUS_UNAVAILABLE = 503
 STATUS_OK = 200
 
 
@@ -22,10 +23,10 @@
     return b'request %d' % number
 
 
-def _play(context, rate, seconds, *, count=1, rejects=False):
+def _run(context, rate, seconds, *, count=1, rejects=False):
     async def limit(fleet):
         limited = fleet.targets[:count]
-        await asyncio.sleep(NAMED_AFTER_S)
+        await asyncio.sleep(LIMITED_AFTER_SECONDS)
         for target in limited:
             target.rate, target.rejects = rate, rejects
         await asyncio.sleep(seconds)
@@ -33,59 +34,67 @@
             target.rate, target.rejects = None, False
 
     async def act(fleet):
-        span = NAMED_AFTER_S + seconds + AFTERWARDS_S
-        await asyncio.gather(fleet.press(PAUSE_S, span, _make_body), limit(fleet))
+        span = LIMITED_AFTER_SECONDS + seconds + AFTERWARDS_SECONDS
+        await asyncio.gather(
+            fleet.press(REQUEST_INTERVAL_SECONDS, span, _make_body), limit(fleet)
+        )
 
     context.rate, context.limited = rate, count
     context.fleet = run_fleet(act, *context.size)
-    context.named_at = START_SECONDS + NAMED_AFTER_S
-    context.ended_at = context.named_at + seconds
+    context.limited_at = START_SECONDS + LIMITED_AFTER_SECONDS
+    context.ended_at = context.limited_at + seconds
 
 
 @when(
-    'one target names a limit of {rate:g} a second for {seconds:g} seconds '
-    'beside 50 requests a second'
+    'one target reports a limit of {rate:g} per second for {seconds:g} seconds '
+    'beside 50 requests per second'
 )
 def limit_one(context, rate, seconds):
-    _play(context, rate, seconds)
+    _run(context, rate, seconds)
 
 
 @when(
-    'all targets name a limit of {rate:g} a second for {seconds:g} seconds '
-    'beside 50 requests a second'
+    'all targets report a limit of {rate:g} per second for {seconds:g} seconds '
+    'beside 50 requests per second'
 )
 def limit_all(context, rate, seconds):
-    _play(context, rate, seconds, count=context.size[1])
+    _run(context, rate, seconds, count=context.size[1])
 
 
 @when(
-    'one target rejects and names a limit of {rate:g} a second for {seconds:g} seconds'
+    'one target rejects requests and reports a limit of {rate:g} per second '
+    'for {seconds:g} seconds'
 )
 def limit_and_reject(context, rate, seconds):
-    _play(context, rate, seconds, rejects=True)
+    _run(context, rate, seconds, rejects=True)
 
 
-@then('no 4 seconds bring it more than one and a half times its limit and 5 more')
+@then('no window of 4 seconds brings it more than 1.5 times its limit and 5 more')
 def check_windows(context):
-    allowed = FACTOR * context.rate * WINDOW_S + SLACK
+    allowed = FACTOR * context.rate * WINDOW_SECONDS + SLACK
     for target in context.fleet.targets[: context.limited]:
-        worst = _find_worst(context, target.incarnation)
-        assert worst <= allowed, (worst, allowed, target.incarnation)
+        largest = _find_largest_window(context, target.incarnation)
+        assert largest <= allowed, (largest, allowed, target.incarnation)
 
 
-def _find_worst(context, incarnation):
-    """Return the most requests of told routers in a window that counts."""
+def _find_largest_window(context, incarnation):
+    """Return the maximum number of requests within a window.
+
+    Only requests of routers that know the limit count, and only windows that end
+    after the time that routers have to learn of it.
+    """
     fleet = context.fleet
     counted = [
-        one.at
-        for one in fleet.arrivals
-        if one.target == incarnation
-        and one.at <= context.ended_at
-        and fleet.told.get((incarnation, one.router), one.at) <= one.at - TOLD_S
+        arrival.at
+        for arrival in fleet.arrivals
+        if arrival.target == incarnation
+        and arrival.at <= context.ended_at
+        and fleet.told.get((incarnation, arrival.router), arrival.at)
+        <= arrival.at - TOLD_GRACE_SECONDS
     ]
-    since = context.named_at + CONVERGENCE_SECONDS
+    since = context.limited_at + CONVERGENCE_SECONDS
     sizes = [
-        number + 1 - bisect_right(counted, at - WINDOW_S)
+        number + 1 - bisect_right(counted, at - WINDOW_SECONDS)
         for number, at in enumerate(counted)
         if at >= since
     ]
@@ -95,7 +104,7 @@
 @then('at least {share:g} of all requests are served')
 def check_served(context, share):
     answers = [answer for _, answer in context.fleet.answers]
-    served = sum(_is_served(one) for one in answers)
+    served = sum(_is_served(response) for response in answers)
     assert served >= share * len(answers), (served, len(answers))
 
 
@@ -103,28 +112,30 @@
     return answer.whole and answer.status == STATUS_OK
 
 
-@then('the targets get at least {share:g} of what they take')
-def check_used(context, share):
-    since, until = context.named_at + CONVERGENCE_SECONDS, context.ended_at
-    sent = sum(since <= one.at <= until for one in context.fleet.arrivals)
-    takes = context.rate * context.limited * (until - since)
-    assert sent >= share * takes, (sent, takes)
+@then('the targets get at least {share:g} of the requests that their limits allow')
+def check_allowed_use(context, share):
+    since, until = context.limited_at + CONVERGENCE_SECONDS, context.ended_at
+    sent = sum(since <= arrival.at <= until for arrival in context.fleet.arrivals)
+    allowed = context.rate * context.limited * (until - since)
+    assert sent >= share * allowed, (sent, allowed)
 
 
-@then('all others are refused within {seconds:g} seconds with a time to come back')
+@then('all others are refused within {seconds:g} seconds with a Retry-After time')
 def check_refused(context, seconds):
-    refused = [one for _, one in context.fleet.answers if not _is_served(one)]
+    refused = [
+        response for _, response in context.fleet.answers if not _is_served(response)
+    ]
     assert refused
     for answer in refused:
-        assert answer.status == UNAVAILABLE, answer
+        assert answer.status == STATUS_UNAVAILABLE, answer
         assert float(answer.headers[b'retry-after']) > 0, answer
         assert answer.ended_at - answer.sent_at <= seconds, answer
 
 
-@then('{seconds:g} seconds after its last word it gets half of an even share again')
+@then('{seconds:g} seconds after the limit ends it gets half of an even share again')
 def check_return(context, seconds):
     fleet = context.fleet
     since = context.ended_at + seconds
-    late = [one for one in fleet.arrivals if one.at >= since]
-    own = sum(one.target == fleet.targets[0].incarnation for one in late)
-    assert own >= len(late) / len(fleet.targets) / 2, (own, len(late))
+    late = [arrival for arrival in fleet.arrivals if arrival.at >= since]
+    count = sum(arrival.target == fleet.targets[0].incarnation for arrival in late)
+    assert count >= len(late) / len(fleet.targets) / 2, (count, len(late))
--- a/features/targetlimits.feature
+++ b/features/targetlimits.feature
@@ -1,67 +1,67 @@
-Feature: Targets that name how many requests a second they take from all routers
+Feature: Targets that report a rate limit for all routers together
 
-  Scenario: A target that names a limit gets as many requests as before
+  Scenario: A limited target gets no more requests than its limit allows
     Given 4 routers and 6 targets
-    When one target names a limit of 2.4 a second for 12 seconds beside 50 requests a second
-    Then no 4 seconds bring it more than one and a half times its limit and 5 more
+    When one target reports a limit of 2.4 per second for 12 seconds beside 50 requests per second
+    Then no window of 4 seconds brings it more than 1.5 times its limit and 5 more
     And at least 0.97 of all requests are served
 
-  Scenario: Each of many routers takes a part of a small limit
+  Scenario: Many routers share a small limit
     Given 30 routers and 6 targets
-    When one target names a limit of 2.4 a second for 12 seconds beside 50 requests a second
-    Then no 4 seconds bring it more than one and a half times its limit and 5 more
+    When one target reports a limit of 2.4 per second for 12 seconds beside 50 requests per second
+    Then no window of 4 seconds brings it more than 1.5 times its limit and 5 more
     And at least 0.97 of all requests are served
 
-  Scenario: A target that takes hardly anything is sent to again and again
+  Scenario: A limit below one request per second holds
     Given 4 routers and 6 targets
-    When one target names a limit of 0.3 a second for 12 seconds beside 50 requests a second
-    Then no 4 seconds bring it more than one and a half times its limit and 5 more
+    When one target reports a limit of 0.3 per second for 12 seconds beside 50 requests per second
+    Then no window of 4 seconds brings it more than 1.5 times its limit and 5 more
     And at least 0.97 of all requests are served
 
-  Scenario: A limited target that rejects gets second sends beyond its limit
+  Scenario: Retries don't exceed the limit of a target that rejects requests
     Given 4 routers and 6 targets
-    When one target rejects and names a limit of 2.4 a second for 12 seconds
-    Then no 4 seconds bring it more than one and a half times its limit and 5 more
+    When one target rejects requests and reports a limit of 2.4 per second for 12 seconds
+    Then no window of 4 seconds brings it more than 1.5 times its limit and 5 more
     And at least 0.97 of all requests are served
 
-  Scenario: Requests wait or are sent on where all targets are limited
+  Scenario: Requests are refused at once where all targets are limited
     Given 4 routers and 6 targets
-    When all targets name a limit of 2.4 a second for 12 seconds beside 50 requests a second
-    Then no 4 seconds bring it more than one and a half times its limit and 5 more
-    And the targets get at least 0.6 of what they take
-    And all others are refused within 0.1 seconds with a time to come back
+    When all targets report a limit of 2.4 per second for 12 seconds beside 50 requests per second
+    Then no window of 4 seconds brings it more than 1.5 times its limit and 5 more
+    And the targets get at least 0.6 of the requests that their limits allow
+    And all others are refused within 0.1 seconds with a Retry-After time
 
-  Scenario Outline: A target that names its limit no more stays left alone
+  Scenario Outline: A target is used again after its limit ends
     Given <routers> routers and 6 targets
-    When one target names a limit of 2.4 a second for 6 seconds beside 50 requests a second
-    Then 2 seconds after its last word it gets half of an even share again
+    When one target reports a limit of 2.4 per second for 6 seconds beside 50 requests per second
+    Then 2 seconds after the limit ends it gets half of an even share again
 
     Examples:
       | routers |
       | 4       |
       | 30      |
 
-  Scenario: The parts of a limit are more than the whole
+  Scenario: The shares of a limit add up to the limit
     When 150 generated limits are divided among up to 200 routers
-    Then the parts make the limit, and no window holds more than it may
+    Then the shares add up to the limit, and no window exceeds its bound
 
-  Scenario: Prompts keep a limited engine as their home
-    Given four engines of which the home of a prompt names a limit
+  Scenario: Prompts avoid a preferred engine that is limited
+    Given four engines of which the preferred one of a prompt is limited
     When two routers choose an engine for its prompt
-    Then both take the same engine, and another one than the limited
+    Then both choose the same engine, and not the limited one
 
-  Scenario: Notices of other routers are not heeded
-    When another router says that a target names a limit, and that it has ended
-    Then this router goes by it, and passes nothing on
+  Scenario: A router applies the notices of other routers
+    When another router sends notices of a target's limit, its change and its end
+    Then this router applies each notice and forwards none
 
-  Scenario: A notice that is none does harm
-    When other routers send limits that are none
+  Scenario: Invalid notices are refused
+    When other routers send invalid limits
     Then each is refused, and no limit is known
 
-  Scenario: An answer from before the limit ends it
-    When an answer without a limit comes to a request from before the limit was named
-    Then the limit holds until an answer to a later request names none
+  Scenario: An answer to a request from before the limit doesn't end it
+    When an answer without a limit arrives for a request from before the limit
+    Then the limit holds until an answer to a later request reports none
 
-  Scenario: A target stays left alone for ever when a notice is lost
-    When no router tells of the end of a limit
+  Scenario: A limit expires when the notice of its end is lost
+    When no router sends a notice of the end of a limit
     Then this router tries the target again after one to two minutes
--- a/packages/fleet/src/ibisport_fleet/catalogue.py
+++ b/packages/fleet/src/ibisport_fleet/catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue: what operators say about routes, services and workspaces."""
+"""The catalogue: the operators' configuration of routes, services and workspaces."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a request."""
+    """How far the requests of a route may be retried."""
 
     idempotent = 'idempotent'
     once = 'once'
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A part of a route's traffic: ``weight`` against the sum of all shares."""
+    """A service's share of a route's traffic: its weight over the sum of weights."""
 
     service: str
     weight: float
@@ -24,23 +24,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route: which requests it takes and how they are served.
+    """One route: which requests it matches and how they are served.
 
     Attributes:
-        name: The operator's name of the route.
+        name: Name that the operators give the route.
         host: Host name of the requests, in lower case.
-        prefix: Start of their path, from slash to slash.
-        kind: What may be repeated.
-        shares: The services that serve it.
-        time_limit: Longest time that a caller is kept waiting, seconds.
-        objective: Time to the first byte of the answer that counts as good,
-            seconds.
-        rank: 0 is the most urgent.
-        most_targets: Most targets that may be given one request.
-        public: No key is needed.
-        resumable: A stream may go on at another target.
-        longest_pause: Longest pause between two events of a stream in time, seconds;
-            0: none is named.
+        prefix: Prefix of their path; it starts and ends with a slash.
+        kind: How far requests may be retried.
+        shares: The services that serve the route.
+        time_limit: Maximum time until a caller gets the final answer, seconds.
+        objective: Target for the time to the first byte of an answer, seconds.
+        rank: Priority; 0 is the most urgent.
+        max_targets: Maximum number of targets that may run one request.
+        public: Requests need no key.
+        resumable: A broken stream may be resumed at another target.
+        max_pause_seconds: Longest acceptable pause between two events of a stream;
+            0: not specified.
     """
 
     name: str
@@ -58,7 +57,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run a second time."""
+        """Return whether a request may run more than once."""
         match self.kind:
             case RouteKind.idempotent:
                 return True
@@ -70,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the model engines of a service hold.
+    """Capacity of each model engine of a service.
 
     Attributes:
-        slots: Requests that one engine runs at once.
-        memory: Tokens that its cache holds.
-        tokens_per_event: Most tokens in one event of a stream.
+        slots: Requests that one engine runs concurrently.
+        cache_tokens: Size of the engine's cache in tokens.
+        tokens_per_event: Maximum number of tokens in one event of a stream.
     """
 
     slots: int
@@ -94,12 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """A customer: its keys, its rank, and the tokens that it has paid for.
+    """A customer: its rank and the tokens that it has paid for.
 
     Attributes:
-        name: The operator's name of the workspace.
-        rank: Goes before the rank of a route; None leaves the route's.
-        budget: Tokens paid for in all; None is without a limit.
+        name: Name that the operators give the workspace.
+        rank: Overrides the rank of a route; None: the route's rank applies.
+        budget: Total of tokens paid for; None: no limit.
     """
 
     name: str
@@ -109,13 +108,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What callers may send, and how long they may take.
+    """Limits on the size and duration of callers' requests.
 
     Attributes:
-        most_header_bytes: Longest head of a request.
-        most_body_bytes: Longest body of a request.
-        header_seconds: Longest time from a head's first byte to its last.
-        idle_seconds: Longest pause between two requests of a connection.
+        max_header_bytes: Maximum size of a request's head.
+        max_body_bytes: Maximum size of a request's body.
+        header_seconds: Maximum time from the first to the last byte of a head.
+        idle_seconds: Maximum time between two requests on a connection.
     """
 
     max_header_bytes: int = 16_384
@@ -129,10 +128,10 @@
     """One version of the whole catalogue.
 
     Attributes:
-        version: The operator's number; it only rises.
-        revision: The store's revision at which it was written.
-        keys: Names of workspaces by their keys.
-        needs_keys: Requests carry a key, except on public routes.
+        version: Version number that the operators assign; it only increases.
+        revision: The store's revision at which the catalogue was written.
+        keys: Names of workspaces by key.
+        needs_keys: Requests must carry a key, except on public routes.
     """
 
     version: int
@@ -149,18 +148,18 @@
         by_host: dict[str, list[Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host, []).append(route)
-        # The longest prefix is tried first, so the first match is the best.
+        # Longest prefix first, so that the first match is the longest one.
         return {
             host: tuple(sorted(routes, key=_prefix_length, reverse=True))
             for host, routes in by_host.items()
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path.
+        """Return the route whose prefix is the longest that matches a path, or None.
 
         Args:
-            host: Host name of the request, without a port.
-            path: Path of the request, without a query.
+            host: Host name of the request, without the port.
+            path: Path of the request, without the query.
         """
         for route in self._routes_by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
@@ -168,16 +167,16 @@
         return None
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key."""
+        """Return the workspace that owns a key, or None."""
         name = self.keys.get(key)
         return None if name is None else self.workspaces.get(name)
 
     def list_budgets(self) -> list[tuple[str, int]]:
-        """Return the names of the workspaces that have a budget, and the budgets."""
+        """Return name and budget of each workspace that has a budget."""
         return [
-            (one.name, one.budget)
-            for one in self.workspaces.values()
-            if one.budget is not None
+            (workspace.name, workspace.budget)
+            for workspace in self.workspaces.values()
+            if workspace.budget is not None
         ]
 
 
--- a/packages/fleet/src/ibisport_fleet/crash_detection.py
+++ b/packages/fleet/src/ibisport_fleet/crash_detection.py
@@ -1,4 +1,4 @@
-"""Tells targets that ended from connections that broke."""
+"""Distinguishes crashed targets from broken connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,17 +10,17 @@
 from ibisport_fleet.quarantine import TargetCrash
 from ibisport_fleet.targets import TargetEntry
 
-# The connections of a target that ends break within a millisecond of each other.
+# The connections to a crashing target break within a millisecond of each other.
 GATHERING_SECONDS = 0.01
-# What one message to another router holds.
+# Bounds the size of the message to other routers.
 MAX_DIGESTS = 1_000
 CONNECT_TIMEOUT_SECONDS = 0.35
 
 
 class CrashDetector:
-    """Connects anew to a target at which a request broke.
+    """Checks by a new connection whether a target crashed.
 
-    A target that ended unplanned is still listed, and nobody listens at its address.
+    A target has crashed if it is still listed as serving but refuses connections.
     """
 
     def __init__(
@@ -30,13 +30,13 @@
         log: EventLog,
         report: Callable[[TargetCrash], None],
     ) -> None:
-        """Begin with nothing.
+        """Create a detector.
 
         Args:
-            pool: Opens connections, and keeps those that stand.
-            targets: What is listed.
-            log: Where ends are written.
-            report: Is called with each end.
+            pool: Opens connections and keeps the ones that succeed.
+            targets: Listed targets.
+            log: Receives crashes.
+            report: Called with each crash.
         """
         self._pool = pool
         self._targets = targets
@@ -46,38 +46,38 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def record_break(self, entry: TargetEntry, digest: str) -> None:
-        """Note a request whose connection broke before its answer was whole."""
+        """Record that a connection broke before the request's answer was complete."""
         broken = self._broken_requests.get(entry.start_id)
         if broken is not None:
             broken.add(digest)
             return
         self._broken_requests[entry.start_id] = {digest}
         task = asyncio.get_running_loop().create_task(self._check(entry))
-        # The loop itself keeps no reference to a task.
+        # The event loop keeps only weak references to tasks.
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _check(self, entry: TargetEntry) -> None:
         await asyncio.sleep(GATHERING_SECONDS)
         planned = not self._targets.targets.is_serving(entry)
-        ended = not planned and await self._has_crashed(entry)
+        crashed = not planned and await self._has_crashed(entry)
         digests = self._broken_requests.pop(entry.start_id)
-        if not ended:
+        if not crashed:
             return
         self._log.write(
             Event.target_ended, target=entry.incarnation, requests=len(digests)
         )
-        named = tuple(sorted(digests))[:MAX_DIGESTS]
-        self._report(TargetCrash(entry.incarnation, named))
+        reported = tuple(sorted(digests))[:MAX_DIGESTS]
+        self._report(TargetCrash(entry.incarnation, reported))
 
     async def _has_crashed(self, entry: TargetEntry) -> bool:
         deadline = asyncio.get_running_loop().time() + CONNECT_TIMEOUT_SECONDS
         try:
-            exchange = await self._pool.open(entry.address, deadline)
+            connection = await self._pool.open(entry.address, deadline)
         except NobodyListens:
             return True
         except ConnectionFailed:
-            # A path that fell silent says nothing of the target.
+            # An unresponsive network path says nothing about the target.
             return False
-        self._pool.release(exchange, None)
+        self._pool.release(connection, None)
         return False
--- a/packages/fleet/src/ibisport_fleet/engine_choice.py
+++ b/packages/fleet/src/ibisport_fleet/engine_choice.py
@@ -1,7 +1,8 @@
-"""Chooses the model engine of a request.
+"""Chooses the model engine for a request.
 
-Where long prompts have engines of their own, which these are follows from the list of
-targets and the part of them alone, so routers agree without a word.
+Long prompts may have a pool of engines of their own. Which engines belong to the pool
+depends only on the list of targets and on the pool's share of them, so all routers
+agree on it without exchanging messages.
 """
 
 from collections.abc import Sequence
@@ -12,14 +13,14 @@
 from ibisport_fleet.prompt_mix import EngineSplit
 from ibisport_fleet.target_choice import Candidate, filter_available, filter_unlimited
 
-# A prompt goes to an engine of the other kind once its own ones are behind by so many
-# tokens more: 0.3 s of reading.
+# A prompt overflows to an engine outside its pool once the backlog of the pool is
+# larger by this much, which is 0.3 s of reading.
 OVERFLOW_TOKENS = 12_000
-# What a running request costs the next one, in tokens of prompt: it slows each step
-# by a thousandth, and stands for prompts that other routers have sent.
+# Cost of a running request to the next one: it slows each step by a thousandth, and
+# also stands for prompts that other routers have sent.
 TOKENS_PER_RUNNING_REQUEST = 60
-# Above half of its slots an engine may soon have no room: each further request
-# counts as much as a prompt of 30 ms.
+# Above this utilization an engine may soon run out of slots, so each further request
+# costs as much as a prompt of 30 ms.
 CROWDED_UTILIZATION = 0.5
 TOKENS_PER_CROWDED_REQUEST = 1_200
 
@@ -30,54 +31,57 @@
     now: float,
     split: EngineSplit | None = None,
 ) -> Candidate | None:
-    """Choose the model engine that probably gives its first token first.
+    """Choose the model engine that probably produces the first token earliest.
 
-    An engine reads prompts at a fixed pace, so the wait is about the tokens that it
-    has yet to read: those of prompts on their way there, and those of this one that
-    it hasn't cached. A part's home is the engine that all routers send it to first.
+    An engine reads prompts at a fixed rate, so the wait grows with the tokens that it
+    has yet to read: those of prompts already sent to it, and those of this prompt
+    that it hasn't cached. All routers send a shared part to the same preferred engine
+    first, so that engine is assumed to have the part cached.
 
     Args:
-        candidates: Targets that may be chosen.
-        parts: The prompt in order; the last part is the request's own.
+        candidates: Targets to choose from.
+        parts: The prompt in order; the last part belongs to this request alone.
         now: Loop time.
-        split: Which engines take long prompts first; None: all are alike.
+        split: How engines are divided into pools; None: all engines form one pool.
     """
-    trusted = filter_available(candidates, now)
-    if not trusted:
+    available = filter_available(candidates, now)
+    if not available:
         return None
     shared = parts[:-1]
-    # A limited target can't take what comes to a home.
-    preferred = _select_pool(filter_unlimited(candidates), parts, split)
-    home = _find_preferred_engine(trusted, preferred, shared)
+    # A rate-limited target can't serve all requests of a preferred engine.
+    pool = _select_pool(filter_unlimited(candidates), parts, split)
+    preferred = _find_preferred_engine(available, pool, shared)
 
-    def weigh(one: Candidate) -> tuple[float, bool]:
-        mixing = 0 if one.entry.incarnation in preferred else OVERFLOW_TOKENS
-        return _estimate_backlog(one, home, shared, now) + mixing, one is not home
+    def compute_cost(candidate: Candidate) -> tuple[float, bool]:
+        overflow = 0 if candidate.entry.incarnation in pool else OVERFLOW_TOKENS
+        return _estimate_backlog(
+            candidate, preferred, shared, now
+        ) + overflow, candidate is not preferred
 
-    return min(trusted, key=weigh)
+    return min(available, key=compute_cost)
 
 
 def select_long_prompt_engines(
     candidates: Sequence[Candidate], share: float
 ) -> frozenset[str]:
-    """Return the incarnations that take long prompts first, even in each domain.
+    """Return the incarnations of the pool for long prompts, spread over all domains.
 
     Args:
         candidates: All targets of the service.
-        share: Part of them; each kind of prompt keeps one at the least.
+        share: Share of the targets in the pool; both pools keep at least one target.
     """
     by_domain: dict[str, list[str]] = {}
-    for one in candidates:
-        members = by_domain.setdefault(one.entry.domain, [])
-        members.append(one.entry.incarnation)
+    for candidate in candidates:
+        members = by_domain.setdefault(candidate.entry.domain, [])
+        members.append(candidate.entry.incarnation)
     ranked = [
-        (place, _hash(incarnation), incarnation)
+        (rank, _hash(incarnation), incarnation)
         for members in by_domain.values()
-        for place, incarnation in enumerate(sorted(members, key=_hash))
+        for rank, incarnation in enumerate(sorted(members, key=_hash))
     ]
-    wished = round(len(ranked) * share)
-    most = max(1, min(wished, len(ranked) - 1))
-    return frozenset(incarnation for _, _, incarnation in sorted(ranked)[:most])
+    wanted = round(len(ranked) * share)
+    size = max(1, min(wanted, len(ranked) - 1))
+    return frozenset(incarnation for _, _, incarnation in sorted(ranked)[:size])
 
 
 def _select_pool(
@@ -85,54 +89,61 @@
     parts: Sequence[PromptPart],
     split: EngineSplit | None,
 ) -> frozenset[str]:
-    """Return the incarnations that take a prompt of this length first."""
-    listed = frozenset(one.entry.incarnation for one in candidates)
+    """Return the incarnations that are preferred for a prompt of this length."""
+    engines = frozenset(candidate.entry.incarnation for candidate in candidates)
     if split is None:
-        return listed
-    readers = select_long_prompt_engines(candidates, split.share)
+        return engines
+    long_prompt_engines = select_long_prompt_engines(candidates, split.share)
     if sum(part.tokens for part in parts) >= split.min_long_tokens:
-        return readers
-    return listed - readers
+        return long_prompt_engines
+    return engines - long_prompt_engines
 
 
 def _find_preferred_engine(
     candidates: Sequence[Candidate],
-    preferred: frozenset[str],
+    pool: frozenset[str],
     shared: Sequence[PromptPart],
 ) -> Candidate | None:
+    """Return the engine that all routers prefer for the last shared part.
+
+    The choice is rendezvous hashing among the candidates of the pool.
+    """
     if not shared:
         return None
     part_id = shared[-1].part_id
-    fitting = [one for one in candidates if one.entry.incarnation in preferred]
+    pooled = [
+        candidate for candidate in candidates if candidate.entry.incarnation in pool
+    ]
     return max(
-        fitting or candidates, key=lambda one: _compute_rendezvous_score(one, part_id)
+        pooled or candidates,
+        key=lambda candidate: _compute_rendezvous_score(candidate, part_id),
     )
 
 
 def _estimate_backlog(
     candidate: Candidate,
-    home: Candidate | None,
+    preferred: Candidate | None,
     shared: Sequence[PromptPart],
     now: float,
 ) -> float:
-    """Return the tokens that an engine reads before this request's own part."""
+    """Return how many tokens an engine reads before this request's own part."""
     health = candidate.health
     load = health.estimate_load(now)
-    crowd = max(0.0, load - CROWDED_UTILIZATION * candidate.entry.slots)
-    waiting = (
+    excess = max(0.0, load - CROWDED_UTILIZATION * candidate.entry.slots)
+    backlog = (
         health.pending_prompt_tokens
         + TOKENS_PER_RUNNING_REQUEST * load
-        + TOKENS_PER_CROWDED_REQUEST * crowd
+        + TOKENS_PER_CROWDED_REQUEST * excess
     )
-    if candidate is home:
-        return waiting
-    return waiting + health.count_uncached_tokens(shared, now)
+    if candidate is preferred:
+        return backlog
+    return backlog + health.count_uncached_tokens(shared, now)
 
 
-def _compute_rendezvous_score(candidate: Candidate, shared_part: str) -> int:
-    return _hash(f'{shared_part}|{candidate.entry.incarnation}')
+def _compute_rendezvous_score(candidate: Candidate, part_id: str) -> int:
+    return _hash(f'{part_id}|{candidate.entry.incarnation}')
 
 
 def _hash(text: str) -> int:
-    """Return a number that is the same at all routers."""
+    """Return a hash of a text; it is the same in all router processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/fatal_requests.py
+++ b/packages/fleet/src/ibisport_fleet/fatal_requests.py
@@ -1,6 +1,7 @@
-"""Keeps requests under which targets end from all targets.
+"""Stops sending requests that crash targets.
 
-What one router sees is told to all others, and what is quarantined lies in the store.
+A router notifies all others of the crashes and answers that it observes. The store
+keeps the quarantine.
 """
 
 import time
@@ -28,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerNotice:
-    """A suspected request got a whole answer."""
+    """Message to other routers: a suspected request got a complete answer."""
 
     digest: str
 
 
 class FatalRequests:
-    """What this router knows of requests under which targets end."""
+    """Tracks requests that crash targets, together with the other routers."""
 
     def __init__(
         self,
@@ -45,15 +46,15 @@
         targets: TargetView,
         log: EventLog,
     ) -> None:
-        """Begin with nothing.
+        """Create an instance with an empty quarantine.
 
         Args:
-            members: The other routers; its listings bring what is quarantined.
-            store: Keeps what is quarantined.
-            notifier: Tells the other routers.
+            members: The other routers; its listings contain the quarantine page.
+            store: Keeps the quarantine page.
+            notifier: Sends notices to the other routers.
             pool: Connections to targets.
-            targets: What is listed.
-            log: Where decisions are written.
+            targets: Listed targets.
+            log: Receives changes of the quarantine.
         """
         self._quarantine = Quarantine(time.time)
         self._quarantine_store = QuarantineStore(self._quarantine, store, log)
@@ -64,12 +65,12 @@
 
     @property
     def handlers(self) -> Mapping[bytes, PeerHandler]:
-        """What takes other routers' notices, by path."""
+        """Handlers of other routers' notices, by path."""
         return {CRASHES_PATH: self._handle_crash, ANSWERS_PATH: self._handle_answer}
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """How many requests are suspected and quarantined, for the metrics."""
+        """Numbers of suspected and quarantined requests, for the metrics."""
         quarantine = self._quarantine
         return {
             'suspects': quarantine.suspects,
@@ -77,28 +78,28 @@
         }
 
     async def run(self) -> None:
-        """Keep the store in step, for ever."""
+        """Write changes of the quarantine to the store until cancelled."""
         await self._quarantine_store.run()
 
     def find_remaining_seconds(self, digest: str) -> float | None:
-        """Return for how many seconds a request isn't sent; None: it may be sent."""
+        """Return how long a request stays quarantined; None: it may be sent."""
         return self._quarantine.find_remaining_seconds(digest)
 
     def record_break(self, entry: TargetEntry, digest: str) -> None:
-        """Note a request whose connection broke before its answer was whole."""
+        """Record that a connection broke before the request's answer was complete."""
         self._crash_detector.record_break(entry, digest)
 
     def record_answer(self, digest: str) -> None:
-        """Note that a request got a whole answer: no target ended under it."""
+        """Record a complete answer: the request doesn't crash its target."""
         if self._quarantine.record_answer(digest):
             self._lift(digest, own=True)
             notice = msgspec.json.encode(AnswerNotice(digest))
             self._notifier.notify(ANSWERS_PATH, notice)
 
-    def _report_crash(self, end: TargetCrash) -> None:
-        """Count the end of a target that this router saw."""
-        self._notifier.notify(CRASHES_PATH, msgspec.json.encode(end))
-        self._apply_crash(end, own=True)
+    def _report_crash(self, crash: TargetCrash) -> None:
+        """Apply a crash that this router detected, and notify the other routers."""
+        self._notifier.notify(CRASHES_PATH, msgspec.json.encode(crash))
+        self._apply_crash(crash, own=True)
 
     async def _handle_crash(self, content: bytes) -> bytes:
         self._apply_crash(decode_message(content, TargetCrash), own=False)
@@ -110,10 +111,10 @@
             self._lift(digest, own=False)
         return ACKNOWLEDGEMENT
 
-    def _apply_crash(self, end: TargetCrash, *, own: bool) -> None:
-        for digest in self._quarantine.record_crash(end):
+    def _apply_crash(self, crash: TargetCrash, *, own: bool) -> None:
+        for digest in self._quarantine.record_crash(crash):
             self._log.write(
-                Event.request_quarantined, digest=digest, target=end.target, own=own
+                Event.request_quarantined, digest=digest, target=crash.target, own=own
             )
             self._quarantine_store.save(
                 digest, self._quarantine.entries[digest], own=own
--- a/packages/fleet/src/ibisport_fleet/fleet_view.py
+++ b/packages/fleet/src/ibisport_fleet/fleet_view.py
@@ -1,4 +1,4 @@
-"""What this router believes of the catalogue and of the targets."""
+"""This router's copies of the catalogue and of the list of targets."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 class CatalogueView:
-    """The newest catalogue that this router has seen.
+    """The newest catalogue that this router has received.
 
     Attributes:
-        current: The catalogue, or None before the first.
+        current: The catalogue, or None before the first one arrives.
     """
 
     def __init__(
@@ -30,12 +30,12 @@
         self._log = log
 
     def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
-        """Take the catalogue out of a listing of its prefix."""
+        """Apply the catalogue of a listing of its prefix."""
         for item in listing.items:
             self._apply_item(item)
 
     def apply_change(self, change: Change, doubtful_until: float) -> None:
-        """Take a new version."""
+        """Apply a new version; a removal is ignored."""
         if isinstance(change, Item):
             self._apply_item(change)
 
@@ -43,43 +43,43 @@
         if item.key != self._key:
             return
         try:
-            found = self._decode(item)
+            catalogue = self._decode(item)
         except RecordInvalid as error:
             self._log.write(Event.record_refused, reason=str(error)[:200])
             return
         known = self.current
-        if known is not None and found.version <= known.version:
+        if known is not None and catalogue.version <= known.version:
             return
-        self.current = found
+        self.current = catalogue
         self._log.write(
             Event.catalogue_changed,
-            version=found.version,
-            revision=found.revision,
-            routes=len(found.routes),
+            version=catalogue.version,
+            revision=catalogue.revision,
+            routes=len(catalogue.routes),
             size=len(item.content),
         )
 
 
 class TargetView:
-    """The targets, and what this router has seen of each."""
+    """The listed targets and their health."""
 
     def __init__(
         self,
         decode: Callable[[Item], TargetEntry],
-        name_incarnation: Callable[[str], str],
+        parse_incarnation: Callable[[str], str],
         log: EventLog,
     ) -> None:
         self.targets = TargetList()
         self._decode = decode
-        self._parse_incarnation = name_incarnation
+        self._parse_incarnation = parse_incarnation
         self._log = log
         self._health: dict[tuple[str, int], TargetHealth] = {}
-        # The last content of each key that could not be read, so that one that is
-        # written again and again is logged once.
+        # The last invalid content of each key, so that an entry that is rewritten
+        # without a change is logged once.
         self._unreadable: dict[str, bytes] = {}
 
     def apply_listing(self, listing: Listing, doubtful_until: float) -> None:
-        """Take all entries; those that are missing may only have lapsed."""
+        """Apply a full listing; missing entries may have lapsed in an outage."""
         entries = [
             entry for item in listing.items if (entry := self._decode_entry(item))
         ]
@@ -90,7 +90,7 @@
         self._drop_stale_health()
 
     def apply_change(self, change: Change, doubtful_until: float) -> None:
-        """Take one entry that was written or removed."""
+        """Apply an entry that was written or removed."""
         match change:
             case Item():
                 self._apply_entry(change)
@@ -99,22 +99,22 @@
                     self._parse_incarnation(key), revision, doubtful_until
                 )
 
-    def find_health(self, start: tuple[str, int]) -> TargetHealth:
-        """Return what is known of the load and failures of one start of a target."""
-        found = self._health.get(start)
-        if found is None:
-            found = TargetHealth()
-            self._health[start] = found
-        return found
+    def find_health(self, start_id: tuple[str, int]) -> TargetHealth:
+        """Return the health of one start of a target; create it if necessary."""
+        health = self._health.get(start_id)
+        if health is None:
+            health = TargetHealth()
+            self._health[start_id] = health
+        return health
 
     def list_candidates(self, service: str) -> list[Candidate]:
-        """Return the targets of a service that take new work."""
+        """Return the targets of a service that accept new requests."""
         self._drop_lapsed()
         candidates = [
             Candidate(entry, self.find_health(entry.start_id))
             for entry in self.targets.list_serving(service)
         ]
-        return [one for one in candidates if not one.health.replaced]
+        return [candidate for candidate in candidates if not candidate.health.replaced]
 
     def _drop_lapsed(self) -> None:
         for incarnation in self.targets.drop_lapsed(asyncio.get_running_loop().time()):
@@ -122,16 +122,16 @@
             self._drop_stale_health()
 
     def _drop_stale_health(self) -> None:
-        """Forget the health of starts that are no longer listed."""
+        """Drop the health of starts that are no longer listed."""
         listed = {entry.start_id for entry in self.targets.entries}
-        for start in self._health.keys() - listed:
-            self._health.pop(start)
+        for stale in self._health.keys() - listed:
+            self._health.pop(stale)
 
     def _decode_entry(self, item: Item) -> TargetEntry | None:
-        """Return an entry, or None if it names no target that could be used.
+        """Return an entry, or None if its content is invalid.
 
-        Whoever wrote it, it costs no other entry its place; a known target whose
-        entry turns unreadable gets nothing more until it can be read again.
+        An invalid entry doesn't affect the other entries. A known target whose entry
+        becomes invalid gets no more requests until its entry is valid again.
         """
         try:
             entry = self._decode(item)
--- a/packages/fleet/src/ibisport_fleet/metadata.py
+++ b/packages/fleet/src/ibisport_fleet/metadata.py
@@ -1,7 +1,7 @@
-"""What a request says of itself, and what an answer of a target says.
+"""Metadata of requests and answers, independent of the protocol's headers.
 
-Adapters decode these from a protocol's headers and encode them again; the core
-never reads a header's name.
+Adapters decode headers into these classes and encode them again; other modules never
+refer to a header's name.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt; equal parts after equal parts are cached once."""
+    """One part of a prompt; engines cache each distinct sequence of parts once."""
 
     part_id: str
     tokens: int
@@ -20,18 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller says of a request.
+    """Metadata of a caller's request.
 
     Attributes:
-        request_id: The caller's id of this request; a retry has another.
-        host: Host name asked for, without a port.
-        path: Path without the query.
+        request_id: The caller's id of this request; a caller's retry has a new id.
+        host: Requested host name, without the port.
+        path: Requested path, without the query.
         key: The caller's key, or None.
-        seconds_left: How long the caller waits from now; None: it doesn't say.
-        prompt_tokens: Tokens of the prompt.
-        most_output_tokens: Most tokens that may be generated.
-        parts: The prompt in order; the last part is the request's own.
-        last_event_id: The last event of a stream that the caller has, or None.
+        seconds_left: How long the caller waits from now; None: not given.
+        prompt_tokens: Number of tokens of the prompt.
+        max_output_tokens: Maximum number of tokens to generate.
+        parts: The prompt in order; the last part belongs to this request alone.
+        last_event_id: Id of the last event of a stream that the caller has received,
+            or None.
     """
 
     request_id: str
@@ -46,20 +47,20 @@
 
     @property
     def max_tokens(self) -> int:
-        """Most tokens that the request may cost."""
+        """Maximum number of tokens that the request may cost."""
         return self.prompt_tokens + self.max_output_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class SendMetadata:
-    """What a target is told besides the caller's own words.
+    """Metadata that the router adds to a request for a target.
 
     Attributes:
-        incarnation: The target's incarnation that is meant.
+        incarnation: The incarnation that the request is addressed to.
         workspace: Name of the caller's workspace, or None.
         seconds_left: How long the caller still waits.
-        urgency: 0 is the most urgent, 9 the least.
-        last_event_id: The last event that the caller has, or None.
+        urgency: 0 is the most urgent, 9 the least urgent.
+        last_event_id: Id of the last event that the caller has received, or None.
     """
 
     incarnation: str
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLoad:
-    """How busy a target said it was."""
+    """Load that a target reports."""
 
     running: int
     waiting: int
@@ -80,17 +81,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerMetadata:
-    """What a target's answer says.
+    """Metadata of a target's answer.
 
     Attributes:
-        request_id: The request that it answers, or None if it doesn't say.
-        not_run: The target proved that the request did not run.
-        misdirected: The incarnation that was meant isn't there any more.
-        signed: The target's signature is there.
-        load: How busy the target is, if it says so.
-        rate: Requests a second that it takes from all routers together, if it names
-            a limit.
-        idle_seconds: How long it keeps an idle connection, if it says so.
+        request_id: Id of the request that is answered, or None if not given.
+        not_run: The answer proves that the request did not run.
+        misdirected: The addressed incarnation no longer has this address.
+        signed: The answer carries the target's signature.
+        load: The target's load, or None if not given.
+        rate: Rate limit in requests per second from all routers together, or None.
+        idle_seconds: How long the target keeps an idle connection, or None if not
+            given.
     """
 
     request_id: str | None
@@ -103,27 +104,30 @@
 
 
 class Dialect(Protocol):
-    """Translates between a protocol's headers and the terms above."""
+    """Translates between a protocol's headers and the metadata classes."""
 
     def decode_request(self, request: Request) -> RequestMetadata:
-        """Return what a request says of itself.
+        """Return the metadata of a caller's request.
 
         Raises:
-            RequestInvalid: It lacks something that it must have.
+            RequestInvalid: A mandatory header is missing or invalid.
         """
 
     def encode_send(
-        self, request: Request, call: RequestMetadata, terms: SendMetadata
+        self,
+        request: Request,
+        request_metadata: RequestMetadata,
+        send_metadata: SendMetadata,
     ) -> Headers:
-        """Return the headers for a target."""
+        """Return the headers of a request to a target."""
 
     def decode_answer(self, head: AnswerHead) -> AnswerMetadata:
-        """Return what a target's answer says."""
+        """Return the metadata of a target's answer."""
 
     def encode_answer(self, head: AnswerHead) -> Headers:
-        """Return a target's headers as the caller gets them."""
+        """Return the headers of a target's answer for the caller."""
 
     def encode_refusal(
         self, request_id: str | None, retry_after: float | None
     ) -> Headers:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a refusal by this router."""
--- a/packages/fleet/src/ibisport_fleet/prompt_mix.py
+++ b/packages/fleet/src/ibisport_fleet/prompt_mix.py
@@ -1,47 +1,49 @@
-"""Whether long prompts get engines of their own, for which sizes, and how many.
-
-An engine reads prompts in pieces between the steps of the answers that it generates,
-so answers beside a long prompt get their events late. Where that brings pauses near
-the longest one that callers accept, long prompts are kept apart: size-based assignment
-(Harchol-Balter, JACM 49(2), 2002). Where engines read fast enough for it, a prompt is
-served best by any engine. Both follow from what a router sees of its own requests;
-routers see the same engines and agree closely enough.
-
-Measured on calm days with nothing apart: engines that read 42.8 tokens a ms and emit 4
-in an event gave 61 of 806 short answers a pause over the accepted 300 ms; engines that
-read 56.6 tokens a ms gave none of 669 one over 400 ms.
+"""Decides whether long prompts get a pool of engines of their own, and how large.
+
+An engine reads a prompt in chunks between the steps of the answers that it generates,
+so a long prompt delays the events of the answers beside it. Where that causes pauses
+near the longest one that callers accept, long prompts are kept apart: size-based
+assignment (Harchol-Balter, JACM 49(2), 2002). Where engines read fast enough, any
+engine serves a prompt best. A router decides from its own requests only; all routers
+observe the same engines, so their decisions agree closely enough.
+
+Without a split and without faults, engines that read 42.8 tokens per ms and emit 4
+tokens per event paused 61 of 806 short answers for more than the accepted 300 ms;
+engines that read 56.6 tokens per ms paused none of 669 for more than 400 ms.
 """
 
 import math
 from dataclasses import dataclass
 
-# Long enough for a small site's router to see a hundred long prompts, so that routers
-# divide engines alike; short enough to follow a change of the mix.
+# Time constant of the exponential decay. A router of a small site sees about a hundred
+# long prompts in this time, enough for routers to divide engines alike; a longer time
+# would follow changes of the mix too slowly.
 DECAY_SECONDS = 60.0
-# A pause that takes so much of the accepted one shows the harm before it is done.
-# In the experiment on placing, engines that read slowly show it for 4 to 12 % of a
-# router's long answers, those that read fast for none.
+# A pause longer than this share of the accepted one counts as near the limit, so that
+# a harmful mix shows before pauses exceed the limit. In the placing experiment 4 to
+# 12 % of a router's long answers have such a pause on engines that read slowly, and
+# none on engines that read fast.
 NEAR_LIMIT_SHARE = 0.7
-# Long prompts are kept apart from so many answers with such a pause on, and from this
-# part of all: a single one may be an engine's failure.
+# Long prompts are kept apart once both the decayed count and the share of answers near
+# the limit reach these values; a single such answer may be due to an engine's failure.
 MIN_NEAR_LIMIT_ANSWERS = 1.9
 SPLIT_THRESHOLD = 0.05
-# They are mixed below this part, seen over so many answers.
+# Prompts are mixed again below this share, given at least this many answers.
 MERGE_THRESHOLD = 0.02
 MIN_ANSWERS_TO_MERGE = 25.0
-# Each router sees a sample of its own: with steps of a quarter they divide engines
-# alike, while with finer ones one engine in eight was both kinds at some routers and
-# 1.5 % of the short answers paused too long.
+# Each router sees its own sample of the prompts. With shares rounded to quarters the
+# routers divide engines alike; with finer steps they disagreed about one engine in
+# eight, and 1.5 % of the short answers paused too long.
 SHARE_STEPS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSplit:
-    """How engines are divided among prompts.
+    """How engines are divided into pools for long and short prompts.
 
     Attributes:
-        long_tokens: Prompts of so many tokens and more are long.
-        share: Part of the engines that take long prompts first.
+        min_long_tokens: Prompts of at least this length are long.
+        share: Share of the engines that take long prompts first.
     """
 
     min_long_tokens: float
@@ -49,10 +51,10 @@
 
 
 class PromptMix:
-    """What a router has lately seen of a service's prompts and answers."""
+    """Decaying statistics of a service's prompts and answers at this router."""
 
     def __init__(self) -> None:
-        # Until enough is seen: to mix wrongly costs more than to keep apart wrongly.
+        # Starts split: mixing prompts wrongly costs more than splitting wrongly.
         self._is_split = True
         self._updated_at = 0.0
         self._prompt_count = 0.0
@@ -64,7 +66,7 @@
 
     @property
     def split(self) -> EngineSplit | None:
-        """How engines are divided now; None: any engine takes any prompt."""
+        """The current division of engines; None: any engine takes any prompt."""
         if not (self._is_split and self._uncached_tokens):
             return None
         steps = round(self._uncached_long_tokens / self._uncached_tokens * SHARE_STEPS)
@@ -72,42 +74,43 @@
 
     @property
     def min_long_tokens(self) -> float:
-        """Prompts of so many tokens and more are long: the mean length."""
+        """Length from which a prompt counts as long: the mean length of prompts."""
         return self._prompt_tokens / self._prompt_count if self._prompt_count else 0.0
 
-    def record_prompt(self, tokens: int, unread: int, now: float) -> None:
-        """Count a prompt that is sent.
+    def record_prompt(self, tokens: int, uncached: int, now: float) -> None:
+        """Count a prompt that is sent to an engine.
 
         Args:
-            tokens: Its length.
-            unread: Tokens of it that its engine has to read.
+            tokens: Length of the prompt.
+            uncached: Tokens of it that the engine has to read.
             now: Loop time.
         """
         self._decay(now)
         self._prompt_count += 1
         self._prompt_tokens += tokens
-        self._uncached_tokens += unread
+        self._uncached_tokens += uncached
         if tokens >= self.min_long_tokens:
-            self._uncached_long_tokens += unread
+            self._uncached_long_tokens += uncached
 
     def record_answer(
-        self, tokens: int, longest_pause: float, accepted: float, now: float
+        self, tokens: int, max_pause: float, accepted_pause: float, now: float
     ) -> None:
-        """Count an answer by its longest pause between events.
+        """Count an answer by its longest pause between two events.
 
-        While long prompts are apart only the answers to them run beside others.
+        While engines are split only answers to long prompts count, since only they
+        run beside other long prompts.
 
         Args:
-            tokens: Length of its prompt.
-            longest_pause: Seconds.
-            accepted: The longest pause that its caller accepts, seconds.
+            tokens: Length of the prompt.
+            max_pause: The longest pause of the answer, seconds.
+            accepted_pause: The longest pause that the caller accepts, seconds.
             now: Loop time.
         """
         if self._is_split and tokens < self.min_long_tokens:
             return
         self._decay(now)
         self._answer_count += 1
-        self._near_limit_count += longest_pause > NEAR_LIMIT_SHARE * accepted
+        self._near_limit_count += max_pause > NEAR_LIMIT_SHARE * accepted_pause
         share = self._near_limit_count / self._answer_count
         if (
             self._near_limit_count >= MIN_NEAR_LIMIT_ANSWERS
@@ -118,11 +121,11 @@
             self._is_split = False
 
     def _decay(self, now: float) -> None:
-        kept = math.exp((self._updated_at - now) / DECAY_SECONDS)
+        factor = math.exp((self._updated_at - now) / DECAY_SECONDS)
         self._updated_at = now
-        self._prompt_count *= kept
-        self._prompt_tokens *= kept
-        self._uncached_tokens *= kept
-        self._uncached_long_tokens *= kept
-        self._answer_count *= kept
-        self._near_limit_count *= kept
+        self._prompt_count *= factor
+        self._prompt_tokens *= factor
+        self._uncached_tokens *= factor
+        self._uncached_long_tokens *= factor
+        self._answer_count *= factor
+        self._near_limit_count *= factor
--- a/packages/fleet/src/ibisport_fleet/quarantine.py
+++ b/packages/fleet/src/ibisport_fleet/quarantine.py
@@ -1,15 +1,15 @@
-"""Decides which requests are not sent any more: targets end under them.
+"""Decides which requests are no longer sent because they crash targets.
 
-A target that ends breaks every request that runs there, and the one that caused it
-looks like the others. What tells it apart is that targets end wherever it runs, and
-that it never gets an answer.
+A crash breaks all requests that run at the target, and doesn't show which of them
+caused it. That request is identified over several crashes: every target that runs it
+crashes, and it never gets an answer.
 """
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-# Different targets that end under a request before it is quarantined.
+# Different targets that crash while they run a request before it is quarantined.
 CRASH_THRESHOLD = 3
 MAX_SUSPECTS = 4_096
 SUSPECT_SECONDS = 600.0
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetCrash:
-    """A target ended while requests ran there.
+    """Message to other routers: a target crashed while it ran requests.
 
     Attributes:
-        target: Its incarnation.
-        digests: The requests, as ``Call.digest`` names them.
+        target: The target's incarnation.
+        digests: ``Call.digest`` of each request.
     """
 
     target: str
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request under which targets ended, and that got no answer since.
+    """A request that ran on targets that crashed, without an answer since then.
 
     Attributes:
-        targets: Incarnations that ended.
-        until: Wall-clock time at which it is forgotten, seconds.
+        crashed_targets: Incarnations of these targets.
+        expires_at: Wall-clock time from which the crashes count no longer, seconds.
     """
 
     crashed_targets: set[str] = field(default_factory=set)
@@ -44,22 +44,22 @@
 
 
 class Quarantine:
-    """Requests under which targets ended, by digest."""
+    """Suspected and quarantined requests, by digest."""
 
     def __init__(self, read_clock: Callable[[], float]) -> None:
-        """Begin with nothing.
+        """Create an empty quarantine.
 
         Args:
-            read_clock: Returns the time of day, seconds.
+            read_clock: Returns the wall-clock time, seconds.
         """
         self._read_clock = read_clock
         self._suspects: OrderedDict[str, _Suspect] = OrderedDict()
-        # Wall-clock times at which they end.
+        # Wall-clock times by digest.
         self._quarantined_until: dict[str, float] = {}
 
     @property
     def suspects(self) -> int:
-        """How many requests are watched."""
+        """Number of suspected requests."""
         return len(self._suspects)
 
     @property
@@ -68,26 +68,35 @@
         return self._quarantined_until
 
     def find_remaining_seconds(self, digest: str) -> float | None:
-        """Return for how many seconds a request is quarantined; None: it isn't."""
+        """Return how long a request stays quarantined; None: it isn't quarantined."""
         until = self._quarantined_until.get(digest)
         if until is None:
             return None
-        left = until - self._read_clock()
-        return left if left > 0 else None
+        remaining = until - self._read_clock()
+        return remaining if remaining > 0 else None
 
-    def record_crash(self, end: TargetCrash) -> list[str]:
-        """Count the end of a target; return the requests that are now quarantined."""
+    def record_crash(self, crash: TargetCrash) -> list[str]:
+        """Count a target's crash; return the requests that it quarantines."""
         now = self._read_clock()
-        return [digest for digest in end.digests if self._count_crash(digest, end, now)]
+        return [
+            digest for digest in crash.digests if self._count_crash(digest, crash, now)
+        ]
 
     def record_answer(self, digest: str) -> bool:
-        """Note that a request got a whole answer; return whether it was suspected."""
+        """Clear a request that got a complete answer.
+
+        Returns:
+            Whether the request was suspected or quarantined.
+        """
         suspected = self._suspects.pop(digest, None) is not None
         quarantined = self._quarantined_until.pop(digest, None) is not None
         return suspected or quarantined
 
     def put(self, digest: str, until: float) -> None:
-        """Quarantine a request until a wall-clock time."""
+        """Quarantine a request until a wall-clock time in seconds.
+
+        Beyond ``MAX_QUARANTINED`` requests, those that end earliest are dropped.
+        """
         self._suspects.pop(digest, None)
         self._quarantined_until[digest] = until
         while len(self._quarantined_until) > MAX_QUARANTINED:
@@ -96,16 +105,17 @@
             )
 
     def lift(self, digest: str) -> None:
-        """Let a request be sent again."""
+        """Allow a request to be sent again."""
         self._quarantined_until.pop(digest, None)
 
-    def _count_crash(self, digest: str, end: TargetCrash, now: float) -> bool:
+    def _count_crash(self, digest: str, crash: TargetCrash, now: float) -> bool:
+        """Count a crash for one request; return whether it is now quarantined."""
         if self.find_remaining_seconds(digest) is not None:
             return False
         suspect = self._suspects.pop(digest, None)
         if suspect is None or suspect.expires_at < now:
             suspect = _Suspect()
-        suspect.crashed_targets.add(end.target)
+        suspect.crashed_targets.add(crash.target)
         suspect.expires_at = now + SUSPECT_SECONDS
         self._suspects[digest] = suspect
         if len(self._suspects) > MAX_SUSPECTS:
--- a/packages/fleet/src/ibisport_fleet/quarantine_store.py
+++ b/packages/fleet/src/ibisport_fleet/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Keeps the quarantine in the store, where it outlives all routers."""
+"""Keeps the quarantine in the store, where it outlives all router processes."""
 
 import asyncio
 import random
@@ -21,10 +21,11 @@
     Written,
 )
 
-# Each router lists the prefix of routers every second or two; the page lies below it,
-# so reading it costs no call of its own.
+# The page lies under the prefix that each router lists every one to two seconds, so
+# reading it takes no additional call.
 PAGE_KEY = 'ibisport/router-quarantine'
-# The router that saw the last end writes; others do if it hasn't by then.
+# The router that made a change writes it; another router does so if the page still
+# lacks it after one to two times this long.
 TAKEOVER_DELAY_SECONDS = 3.0
 MIN_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 4.0
@@ -33,10 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantinePage:
-    """All quarantined requests.
+    """Stored record of all quarantined requests.
 
     Attributes:
-        until: Wall-clock times, in seconds, by digest.
+        until: Wall-clock times in seconds until which requests are quarantined, by
+            digest.
     """
 
     until: dict[str, float]
@@ -44,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """What the page doesn't say yet.
+    """A change of one request that the page may not contain yet.
 
     Attributes:
-        until: Wall-clock time until which a request is quarantined; None: it isn't.
-        due: Loop time from which this router writes it.
+        until: Wall-clock time until which the request is quarantined; None: it isn't.
+        due_at: Loop time from which this router writes the change.
     """
 
     until: float | None
@@ -59,7 +61,7 @@
 
 
 class QuarantineStore:
-    """Writes changes of the quarantine to the store, and takes those of others."""
+    """Synchronizes the quarantine with its page in the store."""
 
     def __init__(self, quarantine: Quarantine, store: Store, log: EventLog) -> None:
         self._quarantine = quarantine
@@ -67,27 +69,27 @@
         self._log = log
         self._page: Mapping[str, float] = {}
         self._revision = 0
-        # Of the newest listing; a page that an older one lacks isn't gone.
+        # Revision of the newest listing. A stale listing may lack a page that exists.
         self._listed_revision = 0
         self._changes: dict[str, _Change] = {}
         self._changed = asyncio.Event()
         self._backoff = MIN_BACKOFF_SECONDS
 
     def save(self, digest: str, until: float | None, *, own: bool) -> None:
-        """Write a change, as soon as the store takes it.
+        """Schedule a change to be written; failed writes are retried.
 
         Args:
             digest: The request.
             until: Wall-clock time until which it is quarantined; None: it isn't.
-            own: This router found it out, and no other one writes it.
+            own: This router made the change, and writes it at once.
         """
         now = asyncio.get_running_loop().time()
-        wait = 0.0 if own else TAKEOVER_DELAY_SECONDS * (1 + random.random())
-        self._changes[digest] = _Change(until, now + wait)
+        delay = 0.0 if own else TAKEOVER_DELAY_SECONDS * (1 + random.random())
+        self._changes[digest] = _Change(until, now + delay)
         self._changed.set()
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take the page out of a listing, which may be stale."""
+        """Apply the page of a listing, which may be stale."""
         if listing.revision < self._listed_revision:
             return
         self._listed_revision = listing.revision
@@ -98,7 +100,7 @@
             self._apply_page({}, 0)
 
     async def run(self) -> None:
-        """Write what is due, for ever."""
+        """Write changes that are due until cancelled."""
         while True:
             await self._wait_until_due()
             try:
@@ -111,34 +113,42 @@
     async def _wait_until_due(self) -> None:
         """Wait until a change is due."""
         self._changed.clear()
-        due = min((one.due_at for one in self._changes.values()), default=None)
+        due_at = min((change.due_at for change in self._changes.values()), default=None)
         try:
-            async with asyncio.timeout_at(due):
+            async with asyncio.timeout_at(due_at):
                 await self._changed.wait()
         except TimeoutError:
             return
 
     async def _write_due(self) -> None:
         now = asyncio.get_running_loop().time()
-        due = {name: one for name, one in self._changes.items() if one.due_at <= now}
+        due = {
+            digest: change
+            for digest, change in self._changes.items()
+            if change.due_at <= now
+        }
         missing = {
-            name: one for name, one in due.items() if self._is_missing(name, one)
+            digest: change
+            for digest, change in due.items()
+            if self._is_missing(digest, change)
         }
         self._discard_changes(due.keys() - missing.keys())
         if not missing:
             return
-        kept = self._merge_page(missing)
-        content = msgspec.json.encode(QuarantinePage(kept))
+        entries = self._merge_page(missing)
+        content = msgspec.json.encode(QuarantinePage(entries))
         written = await self._store.write(
             (Condition(PAGE_KEY, self._revision),), (Put(PAGE_KEY, content),)
         )
         self._backoff = MIN_BACKOFF_SECONDS
         match written:
             case Written(revision=revision):
-                self._apply_page(kept, revision)
-                # One that came meanwhile stays.
+                self._apply_page(entries, revision)
+                # Changes that were scheduled during the write stay.
                 self._discard_changes(
-                    name for name in missing if self._changes.get(name) is missing[name]
+                    digest
+                    for digest in missing
+                    if self._changes.get(digest) is missing[digest]
                 )
             case Conflict():
                 self._apply_conflict(written)
@@ -157,11 +167,17 @@
             self._changes.pop(digest)
 
     def _is_missing(self, digest: str, change: _Change) -> bool:
-        """Whether the page doesn't say what a change says; clocks of routers differ."""
+        """Return whether the page lacks a change.
+
+        Times aren't compared, since the clocks of routers differ.
+        """
         return (change.until is None) == (digest in self._page)
 
     def _merge_page(self, changes: Mapping[str, _Change]) -> dict[str, float]:
-        """Return the latest entries of the page with some changes."""
+        """Return the page's entries with changes merged in.
+
+        Beyond ``MAX_QUARANTINED`` entries, those that end earliest are dropped.
+        """
         page = dict(self._page)
         for digest, change in changes.items():
             if change.until is None:
@@ -178,12 +194,16 @@
             page = decode_page(item)
         except RecordInvalid as error:
             self._log.write(Event.record_refused, reason=str(error)[:200])
-            # The next write replaces it.
+            # The next write replaces the invalid page.
             page = QuarantinePage({})
         self._apply_page(page.until, item.revision)
 
     def _apply_page(self, entries: Mapping[str, float], revision: int) -> None:
-        """Take a page; what was on the one before and isn't now is lifted."""
+        """Apply a page of the store to the quarantine.
+
+        Requests that were on the previous page and aren't on this one are lifted,
+        except those with a change that isn't written yet.
+        """
         for digest in self._page.keys() - entries.keys():
             if digest not in self._changes:
                 self._quarantine.lift(digest)
@@ -196,10 +216,10 @@
 
 
 def decode_page(item: Item) -> QuarantinePage:
-    """Return the page that an item holds.
+    """Return the quarantine page in an item of the store.
 
     Raises:
-        RecordInvalid: It can't be read.
+        RecordInvalid: The content is no valid page.
     """
     try:
         return _DECODER.decode(item.content)
--- a/packages/fleet/src/ibisport_fleet/rate_limit.py
+++ b/packages/fleet/src/ibisport_fleet/rate_limit.py
@@ -1,7 +1,8 @@
-"""The part of a target's rate limit that each router may use.
+"""Divides a target's rate limit among the routers.
 
-Few routers send to a limited target, so that the pieces don't become smaller than one
-request. Which ones follows from the list of routers, so they agree without a message.
+Only a few routers send to a limited target, so that no share becomes smaller than one
+request. The senders are chosen by rendezvous hashing over the list of routers, so all
+routers agree on them without exchanging messages.
 """
 
 from dataclasses import dataclass
@@ -10,19 +11,20 @@
 
 import xxhash
 
-# With each sender a window may hold one request more than its part.
+# Senders beyond one for each request per second. More senders would exceed the limit
+# further: within a window each can send one request more than its share.
 EXTRA_SENDERS = 2
 
 
 @dataclass(slots=True)
 class RateLimit:
-    """What a target takes, as far as this router has heard.
+    """A target's rate limit, as far as this router knows.
 
     Attributes:
-        rate: Requests a second from all routers together.
-        heard_at: Loop time at which it was last heard of.
-        until: Loop time from which it counts no more, unless it is heard of again.
-        next_at: Loop time from which this router may send the next request.
+        rate: Requests per second from all routers together.
+        confirmed_at: Loop time at which the limit was last reported.
+        expires_at: Loop time at which the limit expires unless it is reported again.
+        next_send_at: Loop time from which this router may send its next request.
     """
 
     rate: float
@@ -35,15 +37,15 @@
 def compute_send_interval(
     rate: float, target: str, host: str, hosts: frozenset[str]
 ) -> float:
-    """Return the seconds between two sends of a router; infinite: it sends none.
+    """Return a router's interval between two sends, seconds; infinite: no sends.
 
     Args:
-        rate: Requests a second from all routers together.
+        rate: Requests per second from all routers together.
         target: The target's incarnation.
         host: The router's host.
         hosts: Hosts of all routers.
     """
-    ranked = sorted(hosts, key=lambda one: _hash(f'{target}|{one}'))
+    ranked = sorted(hosts, key=lambda name: _hash(f'{target}|{name}'))
     senders = ranked[: int(rate) + EXTRA_SENDERS]
     if host not in senders or not rate:
         return inf
@@ -51,4 +53,5 @@
 
 
 def _hash(text: str) -> int:
+    """Return a hash of a text; it is the same in all router processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/retry_budget.py
+++ b/packages/fleet/src/ibisport_fleet/retry_budget.py
@@ -1,32 +1,32 @@
-"""The budget of second sends, shared by all routers, of which each keeps a part."""
+"""The retry budget of the fleet, of which each router enforces its share."""
 
 from collections import deque
 
-# A share is held back, since windows of several routers don't begin together.
+# Keeps part of the budget in reserve, since the windows of routers aren't aligned.
 SAFETY_FACTOR = 0.8
 
 
 class RetryBudget:
-    """Second sends to one service within a sliding window.
+    """Limits the retries to one service within a sliding window.
 
     Attributes:
         window: Length of the window, seconds.
     """
 
     def __init__(
-        self, ratio: float, slack: float, window: float, started: float
+        self, ratio: float, slack: float, window: float, started_at: float
     ) -> None:
-        """Keep the figures of the whole fleet.
+        """Create an empty budget with the settings of the whole fleet.
 
         Args:
-            ratio: Second sends allowed for each request.
-            slack: Second sends allowed besides, over all routers.
+            ratio: Retries allowed per request.
+            slack: Retries allowed in addition, over all routers.
             window: Length of the window, seconds.
-            started: Loop time at which the process began. What the one before it
-                sent is forgotten, so its part of the slack counts as used up
-                until a window has passed.
+            started_at: Loop time at which the process started. The retries of the
+                previous process aren't known, so this router's share of the slack
+                counts as used up until a window has passed.
         """
-        self._slack_available_at = started + window
+        self._slack_available_at = started_at + window
         self.window = window
         self._ratio = ratio
         self._slack = slack
@@ -34,15 +34,15 @@
         self._retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Count a request for the service."""
+        """Count a request to the service."""
         self._requests.append(now)
 
     def try_acquire(self, now: float, routers: int) -> bool:
-        """Take leave for one second send, if there is any.
+        """Take one retry from the budget; return whether the budget allows it.
 
         Args:
             now: Loop time.
-            routers: How many routers share the budget.
+            routers: Number of routers that share the budget.
         """
         self._trim(now)
         earned = self._ratio * len(self._requests) * SAFETY_FACTOR
--- a/packages/fleet/src/ibisport_fleet/target_choice.py
+++ b/packages/fleet/src/ibisport_fleet/target_choice.py
@@ -1,4 +1,4 @@
-"""What is known of targets' load and health, and the choice of a plain one."""
+"""Load and health of targets, and the choice of a target for plain services."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -8,40 +8,42 @@
 from ibisport_fleet.rate_limit import RateLimit
 from ibisport_fleet.targets import TargetEntry
 
-# A target that owes bytes and sends none on any connection for so long has fallen
-# silent: kept connections to it would swallow requests for seconds. Engines send an
-# event each 25 ms and plain services answer within 450 ms.
+# A target with requests in flight that sends nothing on any connection for this long
+# counts as silent, since further requests on its open connections would hang for
+# seconds. Engines send an event every 25 ms; plain services answer within 450 ms.
 SILENCE_TIMEOUT_SECONDS = 0.8
-# A part counts as cached where this router sent it within this time; engines hold
-# some thirty of the largest parts.
+# A part counts as cached for this long after this router sent it; an engine's cache
+# holds about thirty of the largest parts.
 CACHE_LIFETIME_SECONDS = 10.0
 MAX_CACHED_PARTS = 64
-# A report older than this says nothing of a target whose requests last 0.1 to 2 s.
+# Requests last 0.1 to 2 s, so an older report doesn't describe the current load.
 MAX_REPORT_AGE_SECONDS = 2.0
-# After a failure a target is avoided so long; doubled with each further one.
+# Backoff after a failure; it doubles with each consecutive failure.
 MIN_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 4.0
-# Another failure domain costs a plain request as much as this share of the slots.
+# Cost of a target in another failure domain, as a share of its slots.
 REMOTE_DOMAIN_COST = 0.34
-# One that names a limit is spared as long as others have room.
+# Cost of a rate-limited target: it is avoided while other targets have free slots.
 RATE_LIMITED_COST = 1.0
 
 
 @dataclass(slots=True)
 class TargetHealth:
-    """What this router has seen of one incarnation of a target.
+    """Load and failures of one incarnation of a target, as this router observes them.
 
     Attributes:
-        running: Requests of this router that run there now.
-        reported: The last load that it told, or None.
+        running: Requests of this router that are in flight at the target.
+        reported_load: The last load that the target reported, or None.
         reported_at: Loop time of that report.
-        running_at_report: ``running`` at that time.
-        failures: Failures in a row.
-        avoided_until: Loop time up to which it is avoided.
-        replaced: Another incarnation answered at its address.
-        unread: Tokens of prompts on their way there that it has yet to read.
-        heard_at: Loop time at which it last sent something, or was first asked.
-        limit: How many requests it takes; None: it names no limit.
+        running_at_report: Value of ``running`` at that time.
+        failures: Consecutive failures.
+        backoff_until: Loop time until which the target is avoided.
+        replaced: Another incarnation has answered at the target's address.
+        pending_prompt_tokens: Tokens that the target has yet to read, of prompts
+            that this router has sent.
+        last_received_at: Loop time at which data last arrived from the target, or at
+            which the first of the requests in flight was sent.
+        limit: The target's rate limit, or None.
     """
 
     running: int = 0
@@ -57,18 +59,18 @@
     _sent_parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
     def count_uncached_tokens(self, parts: Sequence[PromptPart], now: float) -> int:
-        """Return the tokens of a prompt that it probably hasn't cached."""
+        """Return how many tokens of a prompt the target probably hasn't cached."""
         return sum(
             part.tokens for part in parts if not self.has_cached(part.part_id, now)
         )
 
     def has_cached(self, part_id: str, now: float) -> bool:
-        """Whether a part was sent there lately."""
-        sent = self._sent_parts.get(part_id)
-        return sent is not None and now - sent < CACHE_LIFETIME_SECONDS
+        """Return whether this router sent a prompt part to the target recently."""
+        sent_at = self._sent_parts.get(part_id)
+        return sent_at is not None and now - sent_at < CACHE_LIFETIME_SECONDS
 
     def record_parts(self, parts: Sequence[PromptPart], now: float) -> None:
-        """Note that it reads a prompt's shared parts."""
+        """Record that the target caches the shared parts of a prompt."""
         for part in parts[:-1]:
             self._sent_parts[part.part_id] = now
             self._sent_parts.move_to_end(part.part_id)
@@ -76,60 +78,65 @@
             self._sent_parts.popitem(last=False)
 
     def record_load(self, load: TargetLoad, now: float) -> None:
-        """Keep what the target told of its load."""
+        """Store the load that the target reports."""
         self.reported_load = load
         self.reported_at = now
         self.running_at_report = self.running
 
     def record_success(self) -> None:
-        """Trust the target again."""
+        """Reset the failure count and the backoff."""
         self.failures = 0
         self.backoff_until = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Avoid the target for a while, longer with each failure in a row."""
-        pause = MIN_BACKOFF_SECONDS * 2**self.failures
+        """Avoid the target for a backoff that doubles with consecutive failures."""
+        backoff = MIN_BACKOFF_SECONDS * 2**self.failures
         self.failures = min(self.failures + 1, 8)
-        self.backoff_until = now + min(pause, MAX_BACKOFF_SECONDS)
+        self.backoff_until = now + min(backoff, MAX_BACKOFF_SECONDS)
 
     def begin_request(self, now: float) -> None:
-        """Count a request that is sent there."""
+        """Count a request that is sent to the target."""
         if not self.running:
             self.last_received_at = now
         self.running += 1
 
     def end_request(self) -> None:
-        """Count a request that has ended there."""
+        """Count the end of a request at the target."""
         self.running -= 1
 
     def is_silent(self, now: float) -> bool:
-        """Whether it owes answers and has sent nothing for a while."""
+        """Return whether requests are in flight and no data has arrived lately."""
         return (
             self.running > 0 and now - self.last_received_at > SILENCE_TIMEOUT_SECONDS
         )
 
     def is_available(self, now: float) -> bool:
-        """Whether it neither failed lately nor fell silent."""
+        """Return whether the target is neither silent nor in backoff."""
         return self.backoff_until <= now and not self.is_silent(now)
 
     def mark_replaced(self) -> None:
-        """Give the incarnation up: another one has its address."""
+        """Stop using this incarnation, since another one has its address."""
         self.replaced = True
 
     def estimate_load(self, now: float) -> int:
-        """Return how many requests probably run or wait there."""
+        """Return how many requests probably run or wait at the target.
+
+        The estimate is the reported load, corrected by the requests that this router
+        has started or finished since the report. Without a recent report only the
+        requests of this router count.
+        """
         if (
             self.reported_load is None
             or now - self.reported_at > MAX_REPORT_AGE_SECONDS
         ):
             return self.running
-        told = self.reported_load.running + self.reported_load.waiting
-        return max(self.running, told + self.running - self.running_at_report)
+        reported = self.reported_load.running + self.reported_load.waiting
+        return max(self.running, reported + self.running - self.running_at_report)
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A target that may take a request."""
+    """A target that a request can be sent to, with its health."""
 
     entry: TargetEntry
     health: TargetHealth
@@ -138,23 +145,27 @@
 def choose_plain_target(
     candidates: Sequence[Candidate], domain: str, now: float
 ) -> Candidate | None:
-    """Choose a plain service's target: near ones first while they have room.
+    """Choose a target of a plain service, one that runs no model engines.
+
+    Targets in the router's own failure domain come first while they have free slots.
 
     Args:
-        candidates: Targets that may be chosen.
+        candidates: Targets to choose from.
         domain: The router's own failure domain.
         now: Loop time.
     """
-    trusted = filter_available(candidates, now)
-    if not trusted:
+    available = filter_available(candidates, now)
+    if not available:
         return None
-    return min(trusted, key=lambda one: _compute_plain_cost(one, domain, now))
+    return min(
+        available, key=lambda candidate: _compute_plain_cost(candidate, domain, now)
+    )
 
 
 def _compute_plain_cost(candidate: Candidate, domain: str, now: float) -> float:
-    far = 0.0 if candidate.entry.domain == domain else REMOTE_DOMAIN_COST
-    limited = 0.0 if candidate.health.limit is None else RATE_LIMITED_COST
-    return _compute_utilization(candidate, now) + far + limited
+    domain_cost = 0.0 if candidate.entry.domain == domain else REMOTE_DOMAIN_COST
+    limit_cost = 0.0 if candidate.health.limit is None else RATE_LIMITED_COST
+    return _compute_utilization(candidate, now) + domain_cost + limit_cost
 
 
 def _compute_utilization(candidate: Candidate, now: float) -> float:
@@ -163,17 +174,21 @@
 
 
 def filter_unlimited(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
-    """Return the targets that name no limit, or all if each names one."""
-    return [one for one in candidates if one.health.limit is None] or candidates
+    """Return the targets without a rate limit, or all targets if each has one."""
+    return [
+        candidate for candidate in candidates if candidate.health.limit is None
+    ] or candidates
 
 
 def filter_available(candidates: Sequence[Candidate], now: float) -> list[Candidate]:
-    """Return the targets that neither failed lately nor fell silent.
+    """Return the targets that are neither silent nor in backoff, or all if none is.
 
     Args:
-        candidates: Targets that may be chosen.
+        candidates: Targets to choose from.
         now: Loop time.
     """
-    trusted = [one for one in candidates if one.health.is_available(now)]
-    # With none left that is trusted, one that failed lately is better than none.
-    return trusted or list(candidates)
+    available = [
+        candidate for candidate in candidates if candidate.health.is_available(now)
+    ]
+    # A target that failed recently is still better than no target at all.
+    return available or list(candidates)
--- a/packages/fleet/src/ibisport_fleet/target_limits.py
+++ b/packages/fleet/src/ibisport_fleet/target_limits.py
@@ -1,4 +1,4 @@
-"""Keeps to the rate limits that targets name."""
+"""Enforces the rate limits that targets report."""
 
 import asyncio
 import random
@@ -20,26 +20,26 @@
 
 LIMITS_PATH = b'/limits'
 ACKNOWLEDGEMENT = b'{}'
-# A router that may not send hears of the end of a limit from others. If a notice was
-# lost, it tries the target again after one to two times as long.
+# A router that may not send learns from other routers that a limit has ended. In case
+# that notice is lost, a limit expires after one to two times this long.
 LIMIT_LIFETIME_SECONDS = 60.0
-# A router that may send does so after so long, though others have room: only an answer
-# tells that a limit has ended.
+# A router that may send does so once the limit is unconfirmed for this long, even if
+# other targets have free slots: only an answer shows that a limit has ended.
 PROBE_INTERVAL_SECONDS = 1.0
-# Others are told of a rate that differs from the last one by this part.
+# Other routers are notified of a rate that differs from the last one by this share.
 RATE_CHANGE_THRESHOLD = 0.2
-# The least and the longest time to come back where all targets are limited.
+# Bounds of the Retry-After time when all targets are limited.
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitNotice:
-    """A target named another limit.
+    """Message to other routers: a target has reported another rate limit.
 
     Attributes:
-        target: Its incarnation.
-        rate: Requests a second from all routers together; None: no limit any more.
+        target: The target's incarnation.
+        rate: Requests per second from all routers together; None: the limit has ended.
     """
 
     target: str
@@ -47,7 +47,7 @@
 
 
 class TargetLimits:
-    """What targets said of how many requests they take."""
+    """Applies the rate limits of targets and exchanges them with other routers."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
         notifier: Notifier,
         log: EventLog,
     ) -> None:
-        """Begin with nothing.
+        """Create an instance without known limits.
 
         Args:
             members: The routers that share a limit.
-            targets: What is known of targets.
-            notifier: Tells the other routers.
-            log: Where changes of limits are written.
+            targets: Listed targets; their health holds the limits.
+            notifier: Sends notices to the other routers.
+            log: Receives changes of limits.
         """
         self._members = members
         self._targets = targets
@@ -71,11 +71,11 @@
 
     @property
     def handlers(self) -> Mapping[bytes, PeerHandler]:
-        """What takes other routers' notices, by path."""
+        """Handlers of other routers' notices, by path."""
         return {LIMITS_PATH: self._handle_notice}
 
     def may_send(self, candidate: Candidate, now: float) -> bool:
-        """Whether this router may send a request to a target now."""
+        """Return whether this router may send a request to a target now."""
         limit = candidate.health.limit
         if limit is None:
             return True
@@ -90,18 +90,20 @@
     def find_probe_target(
         self, candidates: Sequence[Candidate], now: float
     ) -> Candidate | None:
-        """Return a limited target that has to be asked whether it still is.
+        """Return a target whose limit is due for a probe, or None.
+
+        A request is sent there to find out whether the limit still applies.
 
         Args:
             candidates: Targets to which this router may send now.
             now: Loop time.
         """
-        for one in candidates:
-            limit = one.health.limit
-            if limit is None or not one.health.is_available(now):
+        for candidate in candidates:
+            limit = candidate.health.limit
+            if limit is None or not candidate.health.is_available(now):
                 continue
             if now - limit.confirmed_at > PROBE_INTERVAL_SECONDS:
-                return one
+                return candidate
         return None
 
     def record_send(self, candidate: Candidate, now: float) -> None:
@@ -113,37 +115,40 @@
             )
 
     def compute_retry_after(self, candidates: Sequence[Candidate], now: float) -> float:
-        """Return when a caller should come back whom no target takes now, seconds.
+        """Return the Retry-After time when all targets are limited, seconds.
 
-        Another router may have a part of a limit of which this one has none.
+        Where this router has no share of any limit, the time follows from the total
+        rate, since the caller may reach another router that has one.
         """
         limits = [
-            (limit, self._compute_candidate_interval(one, limit))
-            for one in candidates
-            if (limit := one.health.limit) is not None
+            (limit, self._compute_candidate_interval(candidate, limit))
+            for candidate in candidates
+            if (limit := candidate.health.limit) is not None
+        ]
+        waits = [
+            limit.next_send_at - now for limit, interval in limits if isfinite(interval)
         ]
-        waits = [limit.next_send_at - now for limit, gap in limits if isfinite(gap)]
-        rate = sum(limit.rate for limit, _ in limits)
-        shared = 1 / rate if rate else MAX_RETRY_AFTER_SECONDS
-        pause = min(waits, default=shared)
+        total_rate = sum(limit.rate for limit, _ in limits)
+        fleet_wait = 1 / total_rate if total_rate else MAX_RETRY_AFTER_SECONDS
+        retry_after = min(waits, default=fleet_wait)
         return draw_jittered_delay(
-            min(max(MIN_RETRY_AFTER_SECONDS, pause), MAX_RETRY_AFTER_SECONDS)
+            min(max(MIN_RETRY_AFTER_SECONDS, retry_after), MAX_RETRY_AFTER_SECONDS)
         )
 
     def apply_answer(
         self, call: Call, health: TargetHealth, rate: float | None
     ) -> None:
-        """Take what an answer says.
+        """Apply the rate limit that an answer reports.
 
         Args:
-            call: The request that it answers.
-            health: What is known of its target.
-            rate: Requests a second for all routers together; None: no limit.
+            call: The request that is answered.
+            health: Health of the target that answered.
+            rate: Requests per second for all routers together; None: no limit.
         """
         known = health.limit
         target = call.target or ''
         if rate is None:
-            # An answer to what was sent before the limit was named says nothing.
+            # An answer to a request from before the limit doesn't show its end.
             if known is not None and call.sent_at >= known.confirmed_at:
                 self._update_limit(target, health, None, own=True)
         elif known is None or _differ_notably(known.rate, rate):
@@ -177,12 +182,12 @@
         self, target: str, rate: float, known: RateLimit | None
     ) -> RateLimit:
         now = asyncio.get_running_loop().time()
-        gap = self._compute_interval(target, rate)
-        # Routers that hear of it at the same time don't send at the same time.
-        next_at = now + (gap * random.random() if isfinite(gap) else 0.0)
+        interval = self._compute_interval(target, rate)
+        # The random offset spreads routers that learn of the limit at the same time.
+        next_send_at = now + (interval * random.random() if isfinite(interval) else 0.0)
         if known is not None and isfinite(known.next_send_at):
-            next_at = max(next_at, known.next_send_at)
-        return RateLimit(rate, now, _draw_expiry(now), next_at)
+            next_send_at = max(next_send_at, known.next_send_at)
+        return RateLimit(rate, now, _draw_expiry(now), next_send_at)
 
     def _compute_candidate_interval(
         self, candidate: Candidate, limit: RateLimit
@@ -194,8 +199,8 @@
         return compute_send_interval(rate, target, members.own.host, members.hosts)
 
 
-def _differ_notably(one: float, other: float) -> bool:
-    return abs(one - other) > RATE_CHANGE_THRESHOLD * min(one, other)
+def _differ_notably(old_rate: float, new_rate: float) -> bool:
+    return abs(old_rate - new_rate) > RATE_CHANGE_THRESHOLD * min(old_rate, new_rate)
 
 
 def _draw_expiry(now: float) -> float:
--- a/packages/fleet/src/ibisport_fleet/targets.py
+++ b/packages/fleet/src/ibisport_fleet/targets.py
@@ -1,12 +1,12 @@
-"""The list of targets: which there are, which leave, and which are gone."""
+"""The list of targets and their states: serving, draining, lapsed or departed."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
 from ibisport_fleet.addresses import Address
 
-# Entries that lapsed while the service was away are back within two seconds of
-# its return; the platform's pages give the figure. A bit more is for the way.
+# Entries that lapsed in an outage of the store are back within two seconds of its
+# return, as the platform documents; the rest covers transmission.
 RETURN_GRACE_SECONDS = 2.3
 
 
@@ -15,14 +15,14 @@
     """One incarnation of a target, as it registered itself.
 
     Attributes:
-        incarnation: Its id, which it may keep when it starts again.
-        service: The service that it belongs to.
-        address: IP number and port; used again by others once it is gone.
-        domain: Its failure domain.
-        slots: Requests that it runs at once.
-        draining: It takes no new work.
+        incarnation: The id, which a target may keep when it restarts.
+        service: Name of the service that the target belongs to.
+        address: IP address and port; other targets may reuse it later.
+        domain: The failure domain.
+        slots: Requests that the target runs concurrently.
+        draining: The target accepts no new requests.
         revision: The store's revision of the entry.
-        born: Unix time of its start in milliseconds; 0 if it doesn't say.
+        started_at_ms: Unix time of the start in milliseconds; 0 if not given.
     """
 
     incarnation: str
@@ -36,22 +36,22 @@
 
     @property
     def start_id(self) -> tuple[str, int]:
-        """One start of a target: what is known of another start doesn't hold."""
+        """Identifies one start of a target; a restart resets its health."""
         return self.incarnation, self.started_at_ms
 
 
 class TargetList:
-    """All targets that are known.
+    """All known targets.
 
-    One that drains never comes back, unless it starts again under its id, and one that
-    vanished while the store was away is kept until a moment after the store's return:
-    its entry may only have lapsed.
+    A target that drains never serves again unless it restarts under its id. An entry
+    that is missing after an outage of the store is kept for a short time, since it may
+    only have lapsed.
     """
 
     def __init__(self) -> None:
         self._entries: dict[str, TargetEntry] = {}
         self._lapsed: dict[str, TargetEntry] = {}
-        # The newest start of each id that has left.
+        # By id, start time of the newest start that has drained or was removed.
         self._departed_starts: dict[str, int] = {}
         self._lapsed_until = 0.0
 
@@ -60,11 +60,11 @@
 
     @property
     def entries(self) -> tuple[TargetEntry, ...]:
-        """All known targets, leaving ones too."""
+        """Entries of all known targets, including draining ones."""
         return tuple(self._entries.values())
 
     def list_serving(self, service: str) -> list[TargetEntry]:
-        """Return the targets of a service that take new work."""
+        """Return the targets of a service that accept new requests."""
         return [
             entry
             for entry in self._entries.values()
@@ -72,11 +72,11 @@
         ]
 
     def find(self, incarnation: str) -> TargetEntry | None:
-        """Return a target's entry, or None if it isn't known."""
+        """Return the entry of an incarnation, or None if it isn't known."""
         return self._entries.get(incarnation)
 
     def is_serving(self, entry: TargetEntry) -> bool:
-        """Whether a start of a target is listed and takes new work."""
+        """Return whether this start of a target is listed and not draining."""
         known = self._entries.get(entry.incarnation)
         return (
             known is not None
@@ -85,9 +85,10 @@
         )
 
     def put(self, entry: TargetEntry) -> None:
-        """Take an entry that is in the store.
+        """Add or replace an entry that the store contains.
 
-        What a former start wrote may be done after the words of the present one.
+        A write of a previous start may reach the store after the first one of the
+        current start, so entries of older starts are ignored.
         """
         known = self._entries.get(entry.incarnation)
         if known is not None and entry.started_at_ms < known.started_at_ms:
@@ -100,30 +101,30 @@
         self._entries[entry.incarnation] = entry
 
     def remove(self, incarnation: str) -> None:
-        """Forget an entry that the store removed while it was at hand."""
+        """Remove an entry that was removed from the store outside of an outage."""
         entry = self._entries.get(incarnation)
         if entry is not None:
             self._record_departure(entry)
         self.drop(incarnation)
 
     def drop(self, incarnation: str) -> None:
-        """Use a target no more until it can be read again."""
+        """Stop using a target until a valid entry of it arrives."""
         self._entries.pop(incarnation, None)
         self._lapsed.pop(incarnation, None)
 
     def mark_lapsed(self, incarnation: str, until: float) -> None:
-        """Keep an entry that went while the store was away, up to a loop time."""
+        """Keep an entry that is missing after an outage until a loop time."""
         entry = self._entries.get(incarnation)
         if entry is not None:
             self._lapsed[incarnation] = entry
             self._lapsed_until = until
 
     def replace_all(self, entries: Iterable[TargetEntry], until: float) -> None:
-        """Take a full listing after an outage.
+        """Apply a full listing.
 
         Args:
-            entries: All entries that the store has now.
-            until: Loop time up to which missing ones are kept.
+            entries: All entries that the store contains.
+            until: Loop time until which missing entries are kept.
         """
         listed = set()
         for entry in entries:
@@ -137,10 +138,10 @@
         self._departed_starts[entry.incarnation] = max(newest, entry.started_at_ms)
 
     def drop_lapsed(self, now: float) -> list[str]:
-        """Forget lapsed entries whose time has run out, and return them."""
+        """Remove lapsed entries after their deadline; return their incarnations."""
         if not self._lapsed or now < self._lapsed_until:
             return []
-        gone = list(self._lapsed)
-        for incarnation in gone:
+        dropped = list(self._lapsed)
+        for incarnation in dropped:
             self.remove(incarnation)
-        return gone
+        return dropped
