--- a/packages/fleet/src/ibisport_fleet/quarantine.py
+++ b/packages/fleet/src/ibisport_fleet/quarantine.py
@@ -1,29 +1,29 @@
-"""Decides which requests are not sent any more: targets end under them.
+"""Decides which requests are no longer sent because they crash targets.
 
-A target that ends breaks every request that runs there, and the one that caused it
-looks like the others. What tells it apart is that targets end wherever it runs, and
-that it never gets an answer.
+A crash breaks all requests that run at the target, and doesn't show which of them
+caused it. That request is identified over several crashes: every target that runs it
+crashes, and it never gets an answer.
 """
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-# Different targets that end under a request before it is quarantined.
-MOST_ENDS = 3
-MOST_SUSPECTS = 4_096
+# Different targets that crash while they run a request before it is quarantined.
+CRASH_THRESHOLD = 3
+MAX_SUSPECTS = 4_096
 SUSPECT_SECONDS = 600.0
-MOST_QUARANTINED = 512
+MAX_QUARANTINED = 512
 QUARANTINE_SECONDS = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
-class TargetEnd:
-    """A target ended while requests ran there.
+class TargetCrash:
+    """Message to other routers: a target crashed while it ran requests.
 
     Attributes:
-        target: Its incarnation.
-        digests: The requests, as ``Call.digest`` names them.
+        target: The target's incarnation.
+        digests: ``Call.digest`` of each request.
     """
 
     target: str
@@ -32,83 +32,95 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request under which targets ended, and that got no answer since.
+    """A request that ran on targets that crashed, without an answer since then.
 
     Attributes:
-        targets: Incarnations that ended.
-        until: Wall-clock time at which it is forgotten, seconds.
+        crashed_targets: Incarnations of these targets.
+        expires_at: Wall-clock time from which the crashes count no longer, seconds.
     """
 
-    targets: set[str] = field(default_factory=set)
-    until: float = 0.0
+    crashed_targets: set[str] = field(default_factory=set)
+    expires_at: float = 0.0
 
 
 class Quarantine:
-    """Requests under which targets ended, by digest."""
+    """Suspected and quarantined requests, by digest."""
 
     def __init__(self, read_clock: Callable[[], float]) -> None:
-        """Begin with nothing.
+        """Create an empty quarantine.
 
         Args:
-            read_clock: Returns the time of day, seconds.
+            read_clock: Returns the wall-clock time, seconds.
         """
         self._read_clock = read_clock
         self._suspects: OrderedDict[str, _Suspect] = OrderedDict()
-        # Wall-clock times at which they end.
-        self._until: dict[str, float] = {}
+        # Wall-clock times by digest.
+        self._quarantined_until: dict[str, float] = {}
 
     @property
     def suspects(self) -> int:
-        """How many requests are watched."""
+        """Number of suspected requests."""
         return len(self._suspects)
 
     @property
     def entries(self) -> Mapping[str, float]:
         """Wall-clock times, in seconds, until which requests are quarantined."""
-        return self._until
+        return self._quarantined_until
 
-    def find_pause(self, digest: str) -> float | None:
-        """Return for how many seconds a request is quarantined; None: it isn't."""
-        until = self._until.get(digest)
+    def find_remaining_seconds(self, digest: str) -> float | None:
+        """Return how long a request stays quarantined; None: it isn't quarantined."""
+        until = self._quarantined_until.get(digest)
         if until is None:
             return None
-        left = until - self._read_clock()
-        return left if left > 0 else None
+        remaining = until - self._read_clock()
+        return remaining if remaining > 0 else None
 
-    def take_end(self, end: TargetEnd) -> list[str]:
-        """Count the end of a target; return the requests that are now quarantined."""
+    def record_crash(self, crash: TargetCrash) -> list[str]:
+        """Count a target's crash; return the requests that it quarantines."""
         now = self._read_clock()
-        return [digest for digest in end.digests if self._count(digest, end, now)]
+        return [
+            digest for digest in crash.digests if self._count_crash(digest, crash, now)
+        ]
 
-    def note_answer(self, digest: str) -> bool:
-        """Note that a request got a whole answer; return whether it was suspected."""
+    def record_answer(self, digest: str) -> bool:
+        """Clear a request that got a complete answer.
+
+        Returns:
+            Whether the request was suspected or quarantined.
+        """
         suspected = self._suspects.pop(digest, None) is not None
-        quarantined = self._until.pop(digest, None) is not None
+        quarantined = self._quarantined_until.pop(digest, None) is not None
         return suspected or quarantined
 
     def put(self, digest: str, until: float) -> None:
-        """Quarantine a request until a wall-clock time."""
+        """Quarantine a request until a wall-clock time in seconds.
+
+        Beyond ``MAX_QUARANTINED`` requests, those that end earliest are dropped.
+        """
         self._suspects.pop(digest, None)
-        self._until[digest] = until
-        while len(self._until) > MOST_QUARANTINED:
-            self._until.pop(min(self._until, key=self._until.__getitem__))
+        self._quarantined_until[digest] = until
+        while len(self._quarantined_until) > MAX_QUARANTINED:
+            self._quarantined_until.pop(
+                min(self._quarantined_until, key=self._quarantined_until.__getitem__)
+            )
 
     def lift(self, digest: str) -> None:
-        """Let a request be sent again."""
-        self._until.pop(digest, None)
+        """Allow a request to be sent again."""
+        self._quarantined_until.pop(digest, None)
 
-    def _count(self, digest: str, end: TargetEnd, now: float) -> bool:
-        if self.find_pause(digest) is not None:
+    def _count_crash(self, digest: str, crash: TargetCrash, now: float) -> bool:
+        """Count a crash for one request; return whether it is now quarantined."""
+        if self.find_remaining_seconds(digest) is not None:
             return False
         suspect = self._suspects.pop(digest, None)
-        if suspect is None or suspect.until < now:
+        if suspect is None or suspect.expires_at < now:
             suspect = _Suspect()
-        suspect.targets.add(end.target)
-        suspect.until = now + SUSPECT_SECONDS
+        suspect.crashed_targets.add(crash.target)
+        suspect.expires_at = now + SUSPECT_SECONDS
         self._suspects[digest] = suspect
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
-        if len(suspect.targets) < MOST_ENDS:
+        if len(suspect.crashed_targets) < CRASH_THRESHOLD:
             return False
         self.put(digest, now + QUARANTINE_SECONDS)
         return True
--- a/packages/fleet/src/ibisport_fleet/quarantine_store.py
+++ b/packages/fleet/src/ibisport_fleet/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Keeps the quarantine in the store, where it outlives all routers."""
+"""Keeps the quarantine in the store, where it outlives all router processes."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from ibisport_fleet.calls import draw_jittered_delay
 from ibisport_fleet.errors import RecordInvalid, StoreError
 from ibisport_fleet.eventlog import Event, EventLog
-from ibisport_fleet.quarantine import MOST_QUARANTINED, Quarantine
+from ibisport_fleet.quarantine import MAX_QUARANTINED, Quarantine
 from ibisport_fleet.store import (
     Condition,
     Conflict,
@@ -21,22 +21,24 @@
     Written,
 )
 
-# Each router lists the prefix of routers every second or two; the page lies below it,
-# so reading it costs no call of its own.
+# The page lies under the prefix that each router lists every one to two seconds, so
+# reading it takes no additional call.
 PAGE_KEY = 'ibisport/router-quarantine'
-# The router that saw the last end writes; others do if it hasn't by then.
-TAKEOVER_SECONDS = 3.0
-RETRY_PAUSE_S = 0.5
-LONGEST_RETRY_PAUSE_S = 4.0
-CONFLICT_PAUSE_S = 0.02
+# The router that made a change writes it; another router does so if the page still
+# lacks it after one to two times this long.
+TAKEOVER_DELAY_SECONDS = 3.0
+MIN_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 4.0
+CONFLICT_BACKOFF_SECONDS = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantinePage:
-    """All quarantined requests.
+    """Stored record of all quarantined requests.
 
     Attributes:
-        until: Wall-clock times, in seconds, by digest.
+        until: Wall-clock times in seconds until which requests are quarantined, by
+            digest.
     """
 
     until: dict[str, float]
@@ -44,22 +46,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """What the page doesn't say yet.
+    """A change of one request that the page may not contain yet.
 
     Attributes:
-        until: Wall-clock time until which a request is quarantined; None: it isn't.
-        due: Loop time from which this router writes it.
+        until: Wall-clock time until which the request is quarantined; None: it isn't.
+        due_at: Loop time from which this router writes the change.
     """
 
     until: float | None
-    due: float
+    due_at: float
 
 
 _DECODER = msgspec.json.Decoder(QuarantinePage)
 
 
 class QuarantineStore:
-    """Writes changes of the quarantine to the store, and takes those of others."""
+    """Synchronizes the quarantine with its page in the store."""
 
     def __init__(self, quarantine: Quarantine, store: Store, log: EventLog) -> None:
         self._quarantine = quarantine
@@ -67,99 +69,115 @@
         self._log = log
         self._page: Mapping[str, float] = {}
         self._revision = 0
-        # Of the newest listing; a page that an older one lacks isn't gone.
-        self._listed = 0
+        # Revision of the newest listing. A stale listing may lack a page that exists.
+        self._listed_revision = 0
         self._changes: dict[str, _Change] = {}
         self._changed = asyncio.Event()
-        self._pause = RETRY_PAUSE_S
+        self._backoff = MIN_BACKOFF_SECONDS
 
     def save(self, digest: str, until: float | None, *, own: bool) -> None:
-        """Write a change, as soon as the store takes it.
+        """Schedule a change to be written; failed writes are retried.
 
         Args:
             digest: The request.
             until: Wall-clock time until which it is quarantined; None: it isn't.
-            own: This router found it out, and no other one writes it.
+            own: This router made the change, and writes it at once.
         """
         now = asyncio.get_running_loop().time()
-        wait = 0.0 if own else TAKEOVER_SECONDS * (1 + random.random())
-        self._changes[digest] = _Change(until, now + wait)
+        delay = 0.0 if own else TAKEOVER_DELAY_SECONDS * (1 + random.random())
+        self._changes[digest] = _Change(until, now + delay)
         self._changed.set()
 
-    def take_listing(self, listing: Listing) -> None:
-        """Take the page out of a listing, which may be stale."""
-        if listing.revision < self._listed:
+    def apply_listing(self, listing: Listing) -> None:
+        """Apply the page of a listing, which may be stale."""
+        if listing.revision < self._listed_revision:
             return
-        self._listed = listing.revision
+        self._listed_revision = listing.revision
         items = [item for item in listing.items if item.key == PAGE_KEY]
         if items:
-            self._take(items[0])
+            self._apply_item(items[0])
         elif self._revision and listing.revision > self._revision:
-            self._adopt({}, 0)
+            self._apply_page({}, 0)
 
     async def run(self) -> None:
-        """Write what is due, for ever."""
+        """Write changes that are due until cancelled."""
         while True:
-            await self._wait()
+            await self._wait_until_due()
             try:
                 await self._write_due()
             except StoreError as error:
                 self._log.write(Event.quarantine_unsaved, reason=repr(error))
-                await asyncio.sleep(draw_jittered_delay(self._pause))
-                self._pause = min(2 * self._pause, LONGEST_RETRY_PAUSE_S)
+                await asyncio.sleep(draw_jittered_delay(self._backoff))
+                self._backoff = min(2 * self._backoff, MAX_BACKOFF_SECONDS)
 
-    async def _wait(self) -> None:
+    async def _wait_until_due(self) -> None:
         """Wait until a change is due."""
         self._changed.clear()
-        due = min((one.due for one in self._changes.values()), default=None)
+        due_at = min((change.due_at for change in self._changes.values()), default=None)
         try:
-            async with asyncio.timeout_at(due):
+            async with asyncio.timeout_at(due_at):
                 await self._changed.wait()
         except TimeoutError:
             return
 
     async def _write_due(self) -> None:
         now = asyncio.get_running_loop().time()
-        due = {name: one for name, one in self._changes.items() if one.due <= now}
-        missing = {name: one for name, one in due.items() if self._lacks(name, one)}
-        self._settle(due.keys() - missing.keys())
+        due = {
+            digest: change
+            for digest, change in self._changes.items()
+            if change.due_at <= now
+        }
+        missing = {
+            digest: change
+            for digest, change in due.items()
+            if self._is_missing(digest, change)
+        }
+        self._discard_changes(due.keys() - missing.keys())
         if not missing:
             return
-        kept = self._plan_page(missing)
-        content = msgspec.json.encode(QuarantinePage(kept))
+        entries = self._merge_page(missing)
+        content = msgspec.json.encode(QuarantinePage(entries))
         written = await self._store.write(
             (Condition(PAGE_KEY, self._revision),), (Put(PAGE_KEY, content),)
         )
-        self._pause = RETRY_PAUSE_S
+        self._backoff = MIN_BACKOFF_SECONDS
         match written:
             case Written(revision=revision):
-                self._adopt(kept, revision)
-                # One that came meanwhile stays.
-                self._settle(
-                    name for name in missing if self._changes.get(name) is missing[name]
+                self._apply_page(entries, revision)
+                # Changes that were scheduled during the write stay.
+                self._discard_changes(
+                    digest
+                    for digest in missing
+                    if self._changes.get(digest) is missing[digest]
                 )
             case Conflict():
-                self._take_conflict(written)
-                await asyncio.sleep(draw_jittered_delay(CONFLICT_PAUSE_S))
+                self._apply_conflict(written)
+                await asyncio.sleep(draw_jittered_delay(CONFLICT_BACKOFF_SECONDS))
         self._changed.set()
 
-    def _take_conflict(self, conflict: Conflict) -> None:
+    def _apply_conflict(self, conflict: Conflict) -> None:
         found = conflict.find(PAGE_KEY)
         if found is None:
-            self._adopt({}, 0)
+            self._apply_page({}, 0)
         else:
-            self._take(found)
+            self._apply_item(found)
 
-    def _settle(self, digests: Iterable[str]) -> None:
+    def _discard_changes(self, digests: Iterable[str]) -> None:
         for digest in tuple(digests):
             self._changes.pop(digest)
 
-    def _lacks(self, digest: str, change: _Change) -> bool:
-        """Whether the page doesn't say what a change says; clocks of routers differ."""
+    def _is_missing(self, digest: str, change: _Change) -> bool:
+        """Return whether the page lacks a change.
+
+        Times aren't compared, since the clocks of routers differ.
+        """
         return (change.until is None) == (digest in self._page)
 
-    def _plan_page(self, changes: Mapping[str, _Change]) -> dict[str, float]:
-        """Return the latest entries of the page with some changes."""
+    def _merge_page(self, changes: Mapping[str, _Change]) -> dict[str, float]:
+        """Return the page's entries with changes merged in.
+
+        Beyond ``MAX_QUARANTINED`` entries, those that end earliest are dropped.
+        """
         page = dict(self._page)
         for digest, change in changes.items():
             if change.until is None:
@@ -167,21 +185,25 @@
             else:
                 page[digest] = change.until
         latest = sorted(page.items(), key=lambda entry: entry[1])
-        return dict(latest[-MOST_QUARANTINED:])
+        return dict(latest[-MAX_QUARANTINED:])
 
-    def _take(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         if item.revision <= self._revision:
             return
         try:
-            page = load_page(item)
+            page = decode_page(item)
         except RecordInvalid as error:
             self._log.write(Event.record_refused, reason=str(error)[:200])
-            # The next write replaces it.
+            # The next write replaces the invalid page.
             page = QuarantinePage({})
-        self._adopt(page.until, item.revision)
+        self._apply_page(page.until, item.revision)
+
+    def _apply_page(self, entries: Mapping[str, float], revision: int) -> None:
+        """Apply a page of the store to the quarantine.
 
-    def _adopt(self, entries: Mapping[str, float], revision: int) -> None:
-        """Take a page; what was on the one before and isn't now is lifted."""
+        Requests that were on the previous page and aren't on this one are lifted,
+        except those with a change that isn't written yet.
+        """
         for digest in self._page.keys() - entries.keys():
             if digest not in self._changes:
                 self._quarantine.lift(digest)
@@ -193,11 +215,11 @@
         self._revision = revision
 
 
-def load_page(item: Item) -> QuarantinePage:
-    """Return the page that an item holds.
+def decode_page(item: Item) -> QuarantinePage:
+    """Return the quarantine page in an item of the store.
 
     Raises:
-        RecordInvalid: It can't be read.
+        RecordInvalid: The content is no valid page.
     """
     try:
         return _DECODER.decode(item.content)
