--- a/features/steps/docs_steps.py
+++ b/features/steps/docs_steps.py
@@ -27,13 +27,13 @@
     page = (DOCS / 'CALLERS.md').read_text()
     rows = [line for line in page.splitlines() if line.startswith('| `')]
     for kind in vars(errors).values():
-        if _is_told(kind):
+        if _is_sent_to_callers(kind):
             found = [row for row in rows if f'`{kind.code}`' in row]
             assert found, kind.code
             assert f'| {kind.status} |' in found[0], found
 
 
-def _is_told(kind):
+def _is_sent_to_callers(kind):
     if not isinstance(kind, type) or not issubclass(kind, errors.Refusal):
         return False
     return kind.code not in INTERNAL
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -8,11 +8,11 @@
 from ibisport_fleet.explain import Cause, explain
 
 ROUTE = 'r-1'
-AT = 1_790_000_000.25
+LOGGED_AT = 1_790_000_000.25
 
 
-def _write(event, **fields):
-    line = {'timestamp': AT, 'clock': 1.5, 'event': int(event), 'route': ROUTE}
+def _format_line(event, **fields):
+    line = {'timestamp': LOGGED_AT, 'clock': 1.5, 'event': int(event), 'route': ROUTE}
     return json.dumps({**line, **fields})
 
 
@@ -24,7 +24,7 @@
         name: known.get(text, int(text) if text.isdigit() else text)
         for name, text in pairs
     }
-    context.lines = [f'  0.25 host-1 {_write(event, **found)}\n']
+    context.lines = [f'  0.25 host-1 {_format_line(event, **found)}\n']
 
 
 @given(
@@ -32,9 +32,11 @@
     'and wrote {others:d} more'
 )
 def write_lines(context, served, dropped, others):
-    context.lines = [_write(Event.request_served, status=200) for _ in range(served)]
-    context.lines.append(_write(Event.lines_dropped, lines=dropped))
-    context.lines.append(_write(Event.request_sent, status=0))
+    context.lines = [
+        _format_line(Event.request_served, status=200) for _ in range(served)
+    ]
+    context.lines.append(_format_line(Event.lines_dropped, lines=dropped))
+    context.lines.append(_format_line(Event.request_sent, status=0))
     context.lines += ['Traceback (most recent call last):' for _ in range(others)]
 
 
@@ -47,7 +49,7 @@
 def check_cause(context, name):
     cause = Cause[name]
     assert dict(context.explanation.by_route) == {(ROUTE, cause): 1}
-    assert dict(context.explanation.by_second) == {(int(AT), cause): 1}
+    assert dict(context.explanation.by_second) == {(int(LOGGED_AT), cause): 1}
     assert cause.value in context.explanation.format()
 
 
@@ -55,7 +57,7 @@
     '{served:d} are served, {dropped:d} are left out, {others:d} are no events '
     'and no cause is found'
 )
-def check_rest(context, served, dropped, others):
+def check_counts(context, served, dropped, others):
     found = context.explanation
     assert (found.served, found.dropped, found.unreadable) == (served, dropped, others)
     assert not found.by_route
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -18,7 +18,7 @@
 address = "127.0.0.1:8742"
 [bounds]
 """
-WRONG_LINES = {
+INVALID_LINES = {
     'a grace time of -1': 'graceS = -1',
     'a grace time of nan': 'graceS = nan',
     'a grace time of inf': 'graceS = inf',
@@ -36,11 +36,11 @@
     context.path.write_text(SETTINGS)
     # Without the wrong line the file is good.
     assert load_settings(context.path).host == 'edge-1'
-    context.path.write_text(SETTINGS + WRONG_LINES[wrong])
+    context.path.write_text(SETTINGS + INVALID_LINES[wrong])
 
 
 @when('it is read')
-def read_settings(context):
+def load_invalid_settings(context):
     context.refusal = None
     try:
         load_settings(context.path)
@@ -49,5 +49,5 @@
 
 
 @then('it is refused, and the reason is told')
-def check_refused_settings(context):
+def check_settings_rejected(context):
     assert context.refusal is not None and 'settings' in str(context.refusal)
--- a/features/steps/shutdowns_steps.py
+++ b/features/steps/shutdowns_steps.py
@@ -26,16 +26,16 @@
 from ibisport_fleet.eventlog import Event
 
 # Nothing is expected to take so long; it ends a test that would hang.
-PATIENCE_S = 20.0
-SMALL_BUFFER = 4_096
-READ_LATE_S = 1.0
-CALL = b'GET /kv-key?key=k HTTP/1.1\r\nhost: store\r\n\r\n'
-ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n'
-BUDGET = 3_000_000
+TIMEOUT_SECONDS = 20.0
+SMALL_BUFFER_BYTES = 4_096
+READ_DELAY_SECONDS = 1.0
+STORE_CALL = b'GET /kv-key?key=k HTTP/1.1\r\nhost: store\r\n\r\n'
+STORE_ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n'
+BUDGET_TOKENS = 3_000_000
 REQUEST_TOKENS = 2_000
 REQUESTS_PER_SECOND = 60
-SETTLING_S = 10.0
-UNLISTED_S = 3
+SETTLING_SECONDS = 10.0
+UNLIST_SECONDS = 3
 SETTINGS = """
 node = "host-0"
 ip = "127.0.0.1"
@@ -46,7 +46,7 @@
 """
 
 
-class WaitingStore:
+class BlockingStore:
     """A store that answers when it is told to.
 
     Attributes:
@@ -58,8 +58,8 @@
 
     def __init__(self):
         self.calls = []
-        self.got = threading.Event()
-        self.answering = threading.Event()
+        self.received = threading.Event()
+        self.release = threading.Event()
         self.body = b'kept'
         self._listener = socket.create_server(('127.0.0.1', 0))
         self.port = self._listener.getsockname()[1]
@@ -80,28 +80,28 @@
     def _serve(self, sock):
         while call := sock.recv(65_536):
             self.calls.append(call)
-            self.got.set()
-            self.answering.wait(PATIENCE_S)
-            sock.sendall(ANSWER % len(self.body) + self.body)
+            self.received.set()
+            self.release.wait(TIMEOUT_SECONDS)
+            sock.sendall(STORE_ANSWER % len(self.body) + self.body)
 
 
-def pick_port():
+def find_free_port():
     """Return a port that was free a moment ago."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         return listener.getsockname()[1]
 
 
-def make_settings(peer, store):
+def format_settings(peer, store):
     """Return the text of a settings file."""
-    ports = {name: pick_port() for name in ('last', 'front', 'ready')}
+    ports = {name: find_free_port() for name in ('last', 'front', 'ready')}
     return SETTINGS.format(peer=peer, store=store, **ports)
 
 
-def connect(port):
+def connect_with_small_buffer(port):
     """Return a connection that takes little before it is read."""
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
-    sock.settimeout(PATIENCE_S)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+    sock.settimeout(TIMEOUT_SECONDS)
     sock.connect(('127.0.0.1', port))
     return sock
 
@@ -110,7 +110,7 @@
     """Return all bytes until the connection ends, and how it ended."""
     parts = []
     try:
-        while data := sock.recv(SMALL_BUFFER):
+        while data := sock.recv(SMALL_BUFFER_BYTES):
             parts.append(data)
     except OSError as error:
         return b''.join(parts), repr(error)
@@ -129,9 +129,9 @@
 @fixture
 def run_store(context):
     """Run a store that keeps its answers back."""
-    context.store = WaitingStore()
+    context.store = BlockingStore()
     yield context.store
-    context.store.answering.set()
+    context.store.release.set()
     context.store.close()
 
 
@@ -141,8 +141,8 @@
 
     Its settings lie in a file, or in whatever ``prepare`` makes of the path.
     """
-    context.port = pick_port()
-    context.settings = make_settings(context.port, store_port)
+    context.port = find_free_port()
+    context.settings = format_settings(context.port, store_port)
     with tempfile.TemporaryDirectory() as folder:
         context.path = path = Path(folder) / 'settings.toml'
         if prepare is None:
@@ -169,44 +169,44 @@
 
 
 @when("another router's connection waits for nothing")
-def connect_idly(context):
-    context.other = connect(context.port)
+def open_idle_connection(context):
+    context.other = connect_with_small_buffer(context.port)
     context.add_cleanup(context.other.close)
 
 
 @when('another router has sent half of a call')
-def send_half(context):
-    connect_idly(context)
-    context.other.sendall(CALL[:10])
+def send_half_call(context):
+    open_idle_connection(context)
+    context.other.sendall(STORE_CALL[:10])
 
 
 @when('the relay has passed a call on and is told to stop')
-def stop_relay(context):
-    context.sock = connect(context.port)
+def stop_relay_during_call(context):
+    context.sock = connect_with_small_buffer(context.port)
     context.add_cleanup(context.sock.close)
-    context.sock.sendall(CALL)
-    assert context.store.got.wait(PATIENCE_S)
+    context.sock.sendall(STORE_CALL)
+    assert context.store.received.wait(TIMEOUT_SECONDS)
     context.process.send_signal(signal.SIGTERM)
     context.stopping = read_event(context.process, Event.process_stopping)
 
 
 @when('the store answers with {size:d} bytes, which the router reads late')
-def answer_at_length(context, size):
+def release_large_answer(context, size):
     context.store.body = b'x' * size
-    context.store.answering.set()
+    context.store.release.set()
     # A process that doesn't wait for its reader ends now, and loses what it buffers.
     with contextlib.suppress(subprocess.TimeoutExpired):
-        context.process.wait(READ_LATE_S)
+        context.process.wait(READ_DELAY_SECONDS)
     context.answer = read_all(context.sock)
 
 
 @when('the other router sends the other half')
-def send_rest(context):
-    context.other.sendall(CALL[10:])
+def send_other_half(context):
+    context.other.sendall(STORE_CALL[10:])
 
 
 @then('the router gets all of it, and then the end of the connection')
-def check_whole(context):
+def check_whole_answer(context):
     content, ending = context.answer
     head, _, body = content.partition(b'\r\n\r\n')
     assert body == context.store.body, (head, len(body), ending)
@@ -214,34 +214,34 @@
 
 
 @then('the relay has told of {count:d} call in flight and ends with code {code:d}')
-def check_told(context, count, code):
+def check_relay_stopped(context, count, code):
     assert context.stopping, 'it said nothing before its end'
     assert context.stopping['in_flight'] == count, context.stopping
-    assert context.process.wait(PATIENCE_S) == code
+    assert context.process.wait(TIMEOUT_SECONDS) == code
 
 
 @then("the other router's connection ends while the call is on its way")
 def check_idle_closed(context):
     assert read_all(context.other) == (b'', 'closed')
     assert context.process.poll() is None
-    context.store.answering.set()
+    context.store.release.set()
     content, _ = read_all(context.sock)
     assert content.endswith(context.store.body), content
 
 
 @then('the other router gets {status:d} and the end of the connection')
-def check_refused(context, status):
+def check_call_refused(context, status):
     content, ending = read_all(context.other)
     assert content.startswith(b'HTTP/1.1 %d ' % status), (content, ending)
     assert ending == 'closed', ending
 
 
 @then('the store has got {count:d} call')
-def check_calls(context, count):
+def check_store_calls(context, count):
     assert len(context.store.calls) == count, context.store.calls
 
 
-async def press(world, seconds, hosts):
+async def send_load(world, seconds, hosts):
     """Send usual requests to some hosts."""
     for _ in range(int(seconds * REQUESTS_PER_SECOND)):
         world.ask(random.choice(hosts), REQUEST_TOKENS, 0.9, 0.3)
@@ -249,25 +249,25 @@
 
 
 @given('{count:d} routers whose requests borrow from one lender')
-def plan_world(context, count):
+def set_router_count(context, count):
     context.count = count
 
 
 @when('the lender is told to stop and ends {seconds:d} seconds later')
-def play_leaving(context, seconds):
+def stop_lender(context, seconds):
     async def play():
-        world = BudgetWorld(hosts=context.count, budget=BUDGET, seed=1)
+        world = BudgetWorld(hosts=context.count, budget=BUDGET_TOKENS, seed=1)
         hosts = list(range(context.count))
         world.start_all()
-        await press(world, SETTLING_S, hosts)
+        await send_load(world, SETTLING_SECONDS, hosts)
         context.lender = world.list_lenders(0)[0]
         number = world.names.index(context.lender)
         others = [one for one in hosts if one != number]
         leaving = asyncio.create_task(world.leave(number, seconds))
         revision = world.service.revision
-        await press(world, UNLISTED_S, others)
+        await send_load(world, UNLIST_SECONDS, others)
         context.listed = [world.list_lenders(one) for one in others]
-        await press(world, 8 - UNLISTED_S, others)
+        await send_load(world, 8 - UNLIST_SECONDS, others)
         await leaving
         context.page_writes = sum(
             change.key == PAGE_KEY and change.revision > revision
@@ -285,7 +285,7 @@
 
 
 @then('3 seconds after it was told no other router takes it for a lender')
-def check_unlisted(context):
+def check_lender_unlisted(context):
     listing = [one for one in context.listed if context.lender in one]
     assert not listing, (context.lender, context.listed)
 
@@ -295,17 +295,17 @@
     assert context.page_writes <= most, (context.page_writes, context.outcomes)
 
 
-async def start_world(context):
+async def start_budget_world(context):
     """Return a world whose routers have found their lender, and another router."""
-    world = BudgetWorld(hosts=context.count, budget=BUDGET, seed=1)
+    world = BudgetWorld(hosts=context.count, budget=BUDGET_TOKENS, seed=1)
     world.start_all()
-    await asyncio.sleep(SETTLING_S)
+    await asyncio.sleep(SETTLING_SECONDS)
     lender = world.list_lenders(0)[0]
     other = next(one for one, name in enumerate(world.names) if name != lender)
     return world, other
 
 
-async def end_process(context, world, other):
+async def stop_router(context, world, other):
     """End a process, and note what counts as spent when all is quiet."""
     await world.stop(other)
     await asyncio.sleep(1.0)
@@ -316,37 +316,37 @@
 @when(
     'another one ends just after {count:d} requests that needed a tenth of their tokens'
 )
-def end_after_requests(context, count):
+def stop_after_requests(context, count):
     async def play():
-        world, other = await start_world(context)
+        world, other = await start_budget_world(context)
         for _ in range(count):
             world.ask(other, REQUEST_TOKENS, 0.1, 0.3)
         while world.outcomes['served'] < count:
             await asyncio.sleep(0.001)
-        await end_process(context, world, other)
+        await stop_router(context, world, other)
 
     run_virtually(play())
 
 
 @when('another one ends while a loan is on its way for a caller that left')
-def end_under_loan(context):
+def stop_during_loan(context):
     async def play():
-        world, other = await start_world(context)
+        world, other = await start_budget_world(context)
         caller = asyncio.create_task(world.borrow(other, REQUEST_TOKENS))
         await asyncio.sleep(LINK_SECONDS * 1.5)
         caller.cancel()
-        await end_process(context, world, other)
+        await stop_router(context, world, other)
 
     run_virtually(play())
 
 
 @then('the lender counts no more as spent than callers got')
-def check_given_back(context):
+def check_tokens_returned(context):
     assert context.used == context.delivered, (context.used, context.outcomes)
 
 
 @given('a {program} that is reading its settings at its start')
-def start_reading(context, program):
+def start_with_settings_pipe(context, program):
     use_fixture(run_store, context)
     use_fixture(run_program, context, program, context.store.port, prepare=os.mkfifo)
     # Opens when the process opens the other end, which then waits for what comes.
@@ -372,7 +372,7 @@
     assert read_event(context.process, Event.settings_reloaded)
 
 
-def make_answer_piece(number, size):
+def make_chunk(number, size):
     """Return a piece of an answer as an agent sends it."""
     return Chunk(bytes(16), 1, number * size, bytes(size))
 
@@ -380,8 +380,8 @@
 @given('a link whose peer reads late')
 def open_link(context):
     with socket.create_server(('127.0.0.1', 0)) as listener:
-        context.peer = connect(listener.getsockname()[1])
-        context.link = Link(listener.accept()[0], PATIENCE_S)
+        context.peer = connect_with_small_buffer(listener.getsockname()[1])
+        context.link = Link(listener.accept()[0], TIMEOUT_SECONDS)
     context.add_cleanup(context.peer.close)
     context.add_cleanup(context.link.close)
 
@@ -391,15 +391,15 @@
 )
 def drain_link(context, count, size):
     for number in range(count):
-        context.link.send(make_answer_piece(number, size))
+        context.link.send(make_chunk(number, size))
 
     def end():
-        context.link.drain(time.monotonic() + PATIENCE_S)
+        context.link.drain(time.monotonic() + TIMEOUT_SECONDS)
         context.link.close()
 
     ending = threading.Thread(target=end)
     ending.start()
-    ending.join(READ_LATE_S)
+    ending.join(READ_DELAY_SECONDS)
     context.size = count * size
     context.answer = read_all(context.peer)
     ending.join()
@@ -411,22 +411,22 @@
     assert len(content) > context.size and ending == 'closed', (len(content), ending)
 
 
-class HeldLink:
+class ObservingLink:
     """A link whose sender looks at the run in the middle of its last message."""
 
     def __init__(self):
         self.feed = None
-        self.ended_before = None
+        self.ended_early = None
 
     def send(self, message):
         """Note whether the run counts as ended while its end is not sent yet."""
         if isinstance(message, Finished):
-            self.ended_before = bool(self.feed.ended_at)
+            self.ended_early = bool(self.feed.ended_at)
 
 
 @given("a link that keeps a run's last message waiting")
 def make_feed(context):
-    context.link = HeldLink()
+    context.link = ObservingLink()
     context.feed = context.link.feed = Feed(bytes(16))
     submit = mock.Mock(attempt=1, offset=0)
     context.feed.subscribe(context.link, submit, Accepted(bytes(16), 1, 's', 1))
@@ -438,6 +438,6 @@
 
 
 @then("the run doesn't count as ended before that message is on its way")
-def check_run_end(context):
-    assert context.link.ended_before is False, context.link.ended_before
+def check_not_ended_early(context):
+    assert context.link.ended_early is False, context.link.ended_early
     assert context.feed.ended_at
--- a/features/steps/stopping_edges_steps.py
+++ b/features/steps/stopping_edges_steps.py
@@ -27,13 +27,13 @@
 from ibisport_fleet.membership import MEMBER_PREFIX, Membership
 from ibisport_fleet.shutdown import plan_shutdown
 
-LEFT_LIST_S = 0.5
+UNLIST_SECONDS = 0.5
 # What the virtual clock tells apart, s.
-TIME_STEP = math.ulp(20.0)
+CLOCK_STEP = math.ulp(20.0)
 
 
 @when('one of its background tasks fails while a stream of {seconds:g} s runs')
-def fail_beside(context, seconds):
+def fail_task_during_stream(context, seconds):
     async def act(site):
         await site.wait_until(-seconds)
         asking = send_on_new_connection(site, encode_request('stream', 'early'))
@@ -48,7 +48,7 @@
     assert context.site.failed and not context.site.killed, context.site.ended_at
 
 
-def _list_moments(step, first, last):
+def _list_times(step, first, last):
     count = round((last - first) / step)
     return [first + step * number for number in range(count + 1)]
 
@@ -57,18 +57,18 @@
     'the router is told to stop, writes take {write:g} s, and the last byte of a '
     'request comes at each {step:g} s from {first:g} to {last:g} s'
 )
-def end_beside_account(context, write, step, first, last):
+def complete_request_during_write(context, write, step, first, last):
     async def act(site, moment):
-        await _spend_and_slow(site, write)
+        await _open_account_and_slow_store(site, write)
         await site.wait_until(1.0)
         request = encode_request('once', 'late', 'Deadline-Ms: 250\r\n')
         return await send_on_new_connection(site, request[:-1], request[-1:], moment)
 
-    context.plays = [
+    context.runs = [
         run_until_stopped(
             [make_plain(), make_silence()], partial(act, moment=moment), PREPAID
         )
-        for moment in _list_moments(step, first, last)
+        for moment in _list_times(step, first, last)
     ]
 
 
@@ -76,28 +76,28 @@
     'the router is told to stop, writes take {write:g} s, and the connection of a '
     'caller lands in the turn that comes {seconds:g} s after the signal'
 )
-def connect_beside_look(context, write, seconds):
+def connect_during_last_check(context, write, seconds):
     async def act(site, moment):
-        await _spend_and_slow(site, write)
+        await _open_account_and_slow_store(site, write)
         await site.wait_until(moment)
         return await send_on_new_connection(
             site, encode_request('once', 'late', LATE_DEADLINE)
         )
 
-    context.plays = [
+    context.runs = [
         run_until_stopped(
             [make_plain(), make_silence()], partial(act, moment=moment), PREPAID
         )
-        for moment in _list_around(seconds - Link().delay)
+        for moment in _list_adjacent_times(seconds - Link().delay)
     ]
 
 
-def _list_around(moment):
+def _list_adjacent_times(moment):
     """Return the numbers next to one: sums of times are rounded, one of them fits."""
-    return [moment + number * TIME_STEP for number in range(-8, 9)]
+    return [moment + number * CLOCK_STEP for number in range(-8, 9)]
 
 
-async def _spend_and_slow(site, write):
+async def _open_account_and_slow_store(site, write):
     """Let the router hold tokens, so that it has an account, and slow the store."""
     await site.wait_until(-1.0)
     await send_on_new_connection(
@@ -108,11 +108,11 @@
 
 
 @then('each that the router has read is answered, and none is run and cut off')
-def check_read(context):
+def check_read_requests_answered(context):
     wrong = [
         (answer, site.ended_at)
-        for site, answer in context.plays
-        if not (answer.refused or answer.whole or _crossed(site, answer))
+        for site, answer in context.runs
+        if not (answer.refused or answer.whole or _crossed_close(site, answer))
     ]
     assert not wrong, wrong
 
@@ -121,7 +121,7 @@
     'the signal finds the process standing still for {still:g} s, and another stream '
     'is asked for {seconds:g} s after that'
 )
-def stop_while_still(context, still, seconds):
+def stop_while_paused(context, still, seconds):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
         early = send_on_new_connection(site, encode_request('stream', 'early'))
@@ -135,13 +135,13 @@
 
 
 @when('a stop is planned with a grace time of {grace:g} s')
-def plan(context, grace):
+def plan_stop(context, grace):
     context.grace = grace
     context.shutdown = plan_shutdown(100.0, grace)
 
 
 @then('its moments are in order, and last answers come within its last sixth')
-def check_moments(context):
+def check_planned_times(context):
     one = context.shutdown
     killed_at = one.begun_at + context.grace
     moments = [
@@ -161,7 +161,7 @@
     'the router is told to stop with a grace time of {grace:g} s as the time of a '
     'request runs out'
 )
-def stop_beside_timeout(context, grace):
+def stop_at_request_timeout(context, grace):
     request = encode_request('once', 'short', 'Deadline-Ms: 999\r\n')
 
     async def act(site, moment):
@@ -170,25 +170,25 @@
         return await send_on_new_connection(site, request)
 
     with mock.patch('running_router.GRACE_SECONDS', grace):
-        context.plays = [
+        context.runs = [
             run_until_stopped(context.replies, partial(act, moment=moment))
-            for moment in _list_around(-1.0)
+            for moment in _list_adjacent_times(-1.0)
         ]
 
 
 @then('each process has ended by itself')
 def check_all_ended(context):
-    killed = [answer for site, answer in context.plays if site.killed]
+    killed = [answer for site, answer in context.runs if site.killed]
     assert not killed, killed
 
 
 @given('a router in the list of routers')
-def make_member(context):
+def create_store(context):
     context.service = MemoryService()
 
 
 @when('it leaves in the middle of a renewal that takes {seconds:g} s')
-def leave_while_renewing(context, seconds):
+def leave_during_renewal(context, seconds):
     async def play():
         loop = asyncio.get_running_loop()
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
@@ -202,7 +202,7 @@
         # The next turn begins 1.5 s after the first one has ended.
         await asyncio.sleep(0.6)
         member.leave()
-        await asyncio.sleep(LEFT_LIST_S + seconds)
+        await asyncio.sleep(UNLIST_SECONDS + seconds)
         context.members = _list_members(context.service)
         task.cancel()
 
@@ -211,12 +211,12 @@
 
 @then('it is off the list {seconds:g} s later')
 def check_off_list(context, seconds):
-    assert seconds == LEFT_LIST_S
+    assert seconds == UNLIST_SECONDS
     assert not context.members, context.members
 
 
 @when('it leaves while the store is down for {seconds:g} s')
-def leave_in_outage(context, seconds):
+def leave_during_outage(context, seconds):
     async def play():
         loop = asyncio.get_running_loop()
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
@@ -232,7 +232,7 @@
         await asyncio.sleep(seconds)
         context.calls = service.calls - before
         service.faults.down = False
-        await asyncio.sleep(LEFT_LIST_S)
+        await asyncio.sleep(UNLIST_SECONDS)
         context.members = _list_members(service)
         task.cancel()
 
@@ -243,7 +243,7 @@
     'it has called the store at most {most:d} times, and is off the list when the '
     'store is back'
 )
-def check_calls(context, most):
+def check_store_calls(context, most):
     assert context.calls <= most, context.calls
     assert not context.members, context.members
 
@@ -252,7 +252,7 @@
     return [key for key in service.items if key.startswith(MEMBER_PREFIX)]
 
 
-def _crossed(site, answer):
+def _crossed_close(site, answer):
     """Whether a request met a close on its way, so that nobody has read it."""
     took = answer.ended_at - answer.sent_at
     return took <= ROUND_TRIP_SECONDS and not site.has_got('late')
--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -21,85 +21,85 @@
 
 from ibisport_bench.memorytransport import Link
 
-GRACES = (4.0, 12.0)
+GRACE_RANGE = (4.0, 12.0)
 # Few requests leave moments in which the process waits for one of them only.
-SIZES = (2, 6, 40)
+REQUEST_COUNTS = (2, 6, 40)
 # Who was sent on so long after the signal and still runs near the end may be cut off.
-LATEST_SEND_S = 3.0
-LAST_SHARE = 1 / 6
-TOKENS = 'Token-Usage: 90,10\r\n'
+LATEST_SEND_SECONDS = 3.0
+FINAL_FRACTION = 1 / 6
+TOKEN_HEADER = 'Token-Usage: 90,10\r\n'
 LINKS = (Link(), Link(delay=0.05), Link(rate=20_000.0, room=16_384))
 # A call of the store takes 5 ms, 50 ms or 0.4 s.
-SLOWNESSES = (1.0, 10.0, 80.0)
+STORE_SLOWDOWNS = (1.0, 10.0, 80.0)
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
+class _PlannedRequest:
     """One request; its last byte comes ``rest`` seconds after the others."""
 
     name: str
-    text: bytes
-    limit: float
+    content: bytes
+    timeout: float
     pause: float
-    rest: float
+    last_byte_delay: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Play:
+class _TrialPlan:
     """What happens in one play; moments are seconds after the signal."""
 
     grace: float
     link: Link
-    slowness: float
+    store_slowdown: float
     replies: list
     callers: list
 
 
-def _draw_asked(chance, number):
+def _draw_request(chance, number):
     kind = chance.choice(('stream', 'stream', 'idempotent', 'once'))
     limit = chance.choice((TIME_LIMIT_SECONDS, chance.uniform(0.1, 4.0)))
-    extra = f'{TOKENS}Deadline-Ms: {round(limit * 1_000)}\r\n'
+    extra = f'{TOKEN_HEADER}Deadline-Ms: {round(limit * 1_000)}\r\n'
     rest = chance.choice((0.0, 0.0, 0.0, chance.uniform(0.05, 3.0)))
     name = f'call-{number}'
     pause = chance.choice((0.0, chance.uniform(0.0, 2.0)))
-    return _Asked(name, encode_request(kind, name, extra), limit, pause, rest)
+    return _PlannedRequest(name, encode_request(kind, name, extra), limit, pause, rest)
 
 
-def _draw_play(seed):
+def _draw_trial(seed):
     chance = random.Random(seed)
-    grace = chance.choice((8.0, chance.uniform(*GRACES)))
-    size = chance.choice(SIZES)
-    asked = [_draw_asked(chance, number) for number in range(size)]
+    grace = chance.choice((8.0, chance.uniform(*GRACE_RANGE)))
+    size = chance.choice(REQUEST_COUNTS)
+    asked = [_draw_request(chance, number) for number in range(size)]
     callers = []
     while asked:
         callers.append((chance.uniform(-2.0, grace), asked[:3]))
         asked = asked[3:]
     streams = [make_stream(chance.uniform(0.3, grace)) for _ in range(size)]
     replies = [chance.choice((one, make_burst(9_000))) for one in streams]
-    link, slowness = chance.choice(LINKS), chance.choice(SLOWNESSES)
-    return _Play(grace, link, slowness, replies, callers)
+    link, slowness = chance.choice(LINKS), chance.choice(STORE_SLOWDOWNS)
+    return _TrialPlan(grace, link, slowness, replies, callers)
 
 
-async def _ask_in_turn(site, begun_at, asked):
+async def _send_in_sequence(site, begun_at, asked):
     caller = Caller(site)
     answers = []
     await site.wait_until(begun_at)
     for one in asked:
         await asyncio.sleep(one.pause)
-        cut = len(one.text) - 1 if one.rest else len(one.text)
-        words = one.text[:cut], one.text[cut:], site.now + one.rest
+        cut = len(one.content) - 1 if one.last_byte_delay else len(one.content)
+        words = one.content[:cut], one.content[cut:], site.now + one.last_byte_delay
         answers.append((one, await caller.ask(*words)))
     return answers
 
 
-def _play(seed):
-    plan = _draw_play(seed)
+def _run_trial(seed):
+    plan = _draw_trial(seed)
 
     async def act(site):
         site.net.links[ROUTER, CALLER] = plan.link
-        asking = [site.call(_ask_in_turn(site, *one)) for one in plan.callers]
+        asking = [site.call(_send_in_sequence(site, *one)) for one in plan.callers]
         await site.wait_until(0.0)
-        site.service.faults.slow = plan.slowness
+        site.service.faults.slow = plan.store_slowdown
         turns = await asyncio.gather(*asking)
         return [one for turn in turns for one in turn]
 
@@ -117,27 +117,31 @@
             answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS + 2 * plan.link.delay
         )
         return 'read, and closed without an answer' if late else None
-    if answer.ended_at >= answer.sent_at + asked.limit - ROUND_TRIP_SECONDS:
+    if answer.ended_at >= answer.sent_at + asked.timeout - ROUND_TRIP_SECONDS:
         return None
-    near_end = answer.ended_at >= plan.grace * (1 - LAST_SHARE)
-    return None if answer.sent_at <= LATEST_SEND_S and near_end else 'run, and cut off'
+    near_end = answer.ended_at >= plan.grace * (1 - FINAL_FRACTION)
+    return (
+        None
+        if answer.sent_at <= LATEST_SEND_SECONDS and near_end
+        else 'run, and cut off'
+    )
 
 
 @given('{count:d} plays of a router that is told to stop, drawn from seed {seed:d}')
-def keep_seeds(context, count, seed):
+def set_seeds(context, count, seed):
     context.seeds = range(seed, seed + count)
 
 
 @when('each is played')
-def play_all(context):
-    context.plays = {seed: _play(seed) for seed in context.seeds}
+def run_trials(context):
+    context.trials = {seed: _run_trial(seed) for seed in context.seeds}
 
 
 @then('each request that the router has read got what it was promised')
 def check_answers(context):
     found = [
         (seed, asked.name, fault, answer, site.ended_at)
-        for seed, (plan, site, answers) in context.plays.items()
+        for seed, (plan, site, answers) in context.trials.items()
         for asked, answer in answers
         if (fault := _find_fault(plan, site, asked, answer))
     ]
@@ -145,6 +149,6 @@
 
 
 @then('each process has ended by itself within the grace time')
-def check_ends(context):
-    killed = [seed for seed, (_, site, _) in context.plays.items() if site.killed]
+def check_ended_in_grace(context):
+    killed = [seed for seed, (_, site, _) in context.trials.items() if site.killed]
     assert not killed, killed
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -24,27 +24,27 @@
 from ibisport_bench.memorytransport import Link
 
 # The longest that a refusal may take: it needs no answer from anyone.
-AT_ONCE_S = 0.5
+MAX_REFUSAL_SECONDS = 0.5
 # A target saw the request, so the answer can't say that it did not run.
-UNCERTAIN = frozenset((500, 502, 504))
+UNCERTAIN_STATUSES = frozenset((500, 502, 504))
 # Calls of the store take 2 s each way: no request waits for so long.
-STORE_SLOWNESS = 1_000.0
+STORE_SLOWDOWN = 1_000.0
 SLOW_LINK = Link(rate=50_000.0, room=16_384)
-SLOW_SIZE = 200_000
+LARGE_ANSWER_BYTES = 200_000
 
 
 @given('a running router')
-def make_nothing(context):
+def start_default_router(context):
     """Do nothing: the next step starts it."""
 
 
 @given('a running router whose target takes {first:g} s for a stream')
-def keep_length(context, first):
+def set_stream_length(context, first):
     context.lengths = [first]
 
 
 @given('a running router whose target takes {first:g} or {second:g} s for a stream')
-def keep_lengths(context, first, second):
+def set_stream_lengths(context, first, second):
     context.lengths = [first, second]
 
 
@@ -52,7 +52,7 @@
     'the router is told to stop, and the stream is asked for {seconds:g} s later '
     'on a {age} connection'
 )
-def ask_after(context, seconds, age):
+def send_after_stop(context, seconds, age):
     async def act(site):
         caller = Caller(site)
         if age == 'kept':
@@ -65,7 +65,7 @@
         return await site.call(caller.ask(encode_request('stream', 'late')))
 
     before = [make_plain()] if age == 'kept' else []
-    context.plays = [
+    context.runs = [
         run_until_stopped([*before, make_stream(length)], act)
         for length in context.lengths
     ]
@@ -76,7 +76,7 @@
     'and the target saw nothing'
 )
 def check_whole_or_refused(context):
-    for site, answer in context.plays:
+    for site, answer in context.runs:
         assert answer.whole, (answer, site.ended_at)
         if answer.status != 200:
             _check_refusal(site, answer, 'late')
@@ -86,7 +86,7 @@
     'the router is told to stop, and an earlier stream ends {seconds:g} s later '
     'with another one asked for right after it'
 )
-def ask_behind(context, seconds):
+def send_behind_stream(context, seconds):
     begun_at = -1.0
 
     async def act(site):
@@ -100,21 +100,21 @@
 
 
 @then('the earlier stream is whole')
-def check_earlier(context):
+def check_first_stream(context):
     earlier = context.answers[0]
     assert earlier.whole and earlier.status == 200, earlier
 
 
 @then('the later one is whole, or was refused or not taken and the target saw nothing')
-def check_later(context):
-    _check_taken_or_not(context.site, context.answers[1], 'late')
+def check_second_stream(context):
+    _check_whole_or_not_sent(context.site, context.answers[1], 'late')
 
 
 @when(
     'the router is told to stop, and a stream and a plain request are asked for '
     '{seconds:g} s later'
 )
-def ask_both(context, seconds):
+def send_stream_and_plain(context, seconds):
     async def act(site):
         await site.wait_until(seconds)
         stream = send_on_new_connection(site, encode_request('stream', 'stream'))
@@ -126,14 +126,14 @@
 
 
 @then('both answers are whole and say that the connection closes')
-def check_both(context):
+def check_closing_answers(context):
     for answer in context.answers:
         assert answer.whole and answer.status == 200, answer
         assert answer.headers[b'connection'] == b'close', answer
 
 
 @given('a running router whose callers prepay')
-def keep_prepaid(context):
+def set_prepaid_catalogue(context):
     context.catalogue = PREPAID
 
 
@@ -141,7 +141,7 @@
     'the router is told to stop, the store grows slow, and requests for tokens come '
     'each {step:g} s from {first:g} s on until the grace time ends'
 )
-def ask_for_tokens(context, step, first):
+def send_during_slow_store(context, step, first):
     count = round((GRACE_SECONDS - first) / step)
     moments = [round(first + step * number, 3) for number in range(count)]
 
@@ -158,7 +158,7 @@
         await asyncio.sleep(ROUND_TRIP_SECONDS)
         asking = [site.call(ask(site, moment)) for moment in moments]
         await site.wait_until(first - 1.0)
-        site.service.faults.slow = STORE_SLOWNESS
+        site.service.faults.slow = STORE_SLOWDOWN
         answers = await asyncio.gather(holding, *asking)
         return answers[1:]
 
@@ -168,7 +168,7 @@
 
 
 @then('each that the router has read is answered with 503, and the target saw none')
-def check_waiting(context):
+def check_refused_when_read(context):
     taken = 0
     wrong = []
     for moment, answer in context.answers.items():
@@ -184,12 +184,12 @@
 
 
 @given('a running router whose target never gives a byte')
-def keep_silence(context):
+def set_silent_target(context):
     context.replies = [make_silence()]
 
 
 @when('requests of each kind are sent on, and the router is told to stop')
-def ask_silent(context):
+def send_to_silent_target(context):
     kinds = ('stream', 'idempotent', 'once')
 
     async def act(site):
@@ -203,20 +203,20 @@
 
 
 @then('each gets a final status that does not say that it did not run')
-def check_final(context):
+def check_uncertain_statuses(context):
     wrong = [one for one in context.answers if not one.whole]
     assert not wrong, (wrong, context.site.ended_at)
     for answer in context.answers:
-        assert answer.status in UNCERTAIN, answer
+        assert answer.status in UNCERTAIN_STATUSES, answer
 
 
 @given('a running router, a slow link to its callers, and large answers')
-def keep_large(context):
-    context.replies = [make_plain(SLOW_SIZE), make_burst(SLOW_SIZE)]
+def set_large_answers(context):
+    context.replies = [make_plain(LARGE_ANSWER_BYTES), make_burst(LARGE_ANSWER_BYTES)]
 
 
 @when('the router is told to stop, and the answers are written {seconds:g} s later')
-def ask_large(context, seconds):
+def receive_large_answers(context, seconds):
     async def act(site):
         site.net.links[ROUTER, CALLER] = SLOW_LINK
         await site.wait_until(seconds)
@@ -230,17 +230,17 @@
 
 
 @then('the callers get every byte')
-def check_large(context):
+def check_large_answers(context):
     wrong = [one for one in context.answers if not one.whole]
     assert not wrong, (wrong, context.site.ended_at)
     for answer in context.answers:
-        assert answer.status == 200 and answer.size >= SLOW_SIZE, answer
+        assert answer.status == 200 and answer.size >= LARGE_ANSWER_BYTES, answer
 
 
 @when(
     'the router is told to stop, and a stream begun before it ends {seconds:g} s later'
 )
-def ask_before(context, seconds):
+def stop_during_stream(context, seconds):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
         return [await send_on_new_connection(site, encode_request('stream', 'early'))]
@@ -253,7 +253,7 @@
     'the router is told to stop, a stream begun before it ends {seconds:g} s later, '
     'and plain requests come {first:g} and {second:g} s later on new connections'
 )
-def ask_beside(context, seconds, first, second):
+def send_plain_during_stream(context, seconds, first, second):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
         asking = [send_on_new_connection(site, encode_request('stream', 'early'))]
@@ -271,7 +271,7 @@
     'the router is told to stop, a stream begun before it ends {seconds:g} s later, '
     'and a caller connects {first:g} s later and asks {pause:g} s after that'
 )
-def ask_on_fresh(context, seconds, first, pause):
+def send_on_idle_connection(context, seconds, first, pause):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
         early = send_on_new_connection(site, encode_request('stream', 'early'))
@@ -289,7 +289,7 @@
     'and streams come {first:g} s later on a kept and {second:g} s later on a new '
     'connection'
 )
-def ask_late(context, seconds, first, second):
+def send_late_streams(context, seconds, first, second):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
         early = send_on_new_connection(site, encode_request('stream', 'early'))
@@ -309,7 +309,7 @@
     'the first may come back within {pause:g} s, and the second when {least:g} to '
     '{most:g} s have passed since the signal'
 )
-def check_return(context, pause, least, most):
+def check_retry_after(context, pause, least, most):
     _, kept, new = context.answers
     for name, answer in (('kept', kept), ('new', new)):
         _check_refusal(context.site, answer, name)
@@ -319,7 +319,7 @@
 
 
 @then('all answers are whole')
-def check_all(context):
+def check_all_answers(context):
     for answer in context.answers:
         assert answer.whole and answer.status == 200, (answer, context.site.ended_at)
 
@@ -332,11 +332,11 @@
 def _check_refusal(site, answer, name):
     assert answer.whole and answer.status == 503, (answer, site.ended_at)
     assert float(answer.headers[b'retry-after']) > 0, answer
-    assert answer.ended_at - answer.sent_at < AT_ONCE_S, answer
+    assert answer.ended_at - answer.sent_at < MAX_REFUSAL_SECONDS, answer
     assert not site.has_got(name), answer
 
 
-def _check_taken_or_not(site, answer, name):
+def _check_whole_or_not_sent(site, answer, name):
     if answer.whole and answer.status == 200:
         return
     if answer.status is not None:
--- a/packages/fleet/src/ibisport_fleet/eventlog.py
+++ b/packages/fleet/src/ibisport_fleet/eventlog.py
@@ -8,8 +8,8 @@
 
 # Lines a second in the mean and at once. One line costs about 15 us, so the log
 # stays under 0.2 % of a core at the first figure.
-LINES_PER_SECOND = 100.0
-MOST_LINES_AT_ONCE = 400.0
+MAX_LINES_PER_SECOND = 100.0
+MAX_BURST_LINES = 400.0
 
 
 class Event(IntEnum):
@@ -66,10 +66,10 @@
     def __init__(self, descriptor: int = 1) -> None:
         self._descriptor = descriptor
         self._encoder = msgspec.json.Encoder()
-        self._allowance = MOST_LINES_AT_ONCE
-        self._refilled = time.monotonic()
+        self._available_lines = MAX_BURST_LINES
+        self._refilled_at = time.monotonic()
         self._dropped = 0
-        self._rest = b''
+        self._unwritten = b''
         os.set_blocking(descriptor, False)
 
     @property
@@ -79,8 +79,8 @@
 
     def refill(self, seconds: float) -> None:
         """Add the lines that so many seconds allow."""
-        earned = seconds * LINES_PER_SECOND
-        self._allowance = min(MOST_LINES_AT_ONCE, self._allowance + earned)
+        earned = seconds * MAX_LINES_PER_SECOND
+        self._available_lines = min(MAX_BURST_LINES, self._available_lines + earned)
 
     def write(self, event: Event, **details: object) -> None:
         """Write one event.
@@ -90,18 +90,18 @@
             details: Facts about it; never keys, prompts or answers.
         """
         now = time.monotonic()
-        self.refill(now - self._refilled)
-        self._refilled = now
-        if self._allowance < 1 or not self._flush_rest():
+        self.refill(now - self._refilled_at)
+        self._refilled_at = now
+        if self._available_lines < 1 or not self._flush():
             self._dropped += 1
             return
-        self._allowance -= 1
+        self._available_lines -= 1
         if self._dropped:
-            self._put(Event.lines_dropped, now, {'lines': self._dropped})
+            self._append(Event.lines_dropped, now, {'lines': self._dropped})
             self._dropped = 0
-        self._put(event, now, details)
+        self._append(event, now, details)
 
-    def _put(self, event: Event, now: float, details: dict[str, object]) -> None:
+    def _append(self, event: Event, now: float, details: dict[str, object]) -> None:
         record = {
             'timestamp': round(time.time(), 3),
             'clock': round(now, 4),
@@ -109,19 +109,19 @@
             'message_type': event.name,
             **details,
         }
-        self._rest += self._encoder.encode(record) + b'\n'
-        self._flush_rest()
+        self._unwritten += self._encoder.encode(record) + b'\n'
+        self._flush()
 
-    def _flush_rest(self) -> bool:
-        if not self._rest:
+    def _flush(self) -> bool:
+        if not self._unwritten:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return False
         except OSError:
             # Nobody reads any more: what can't be written can't be kept.
-            self._rest = b''
+            self._unwritten = b''
             return True
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
--- a/packages/fleet/src/ibisport_fleet/explain.py
+++ b/packages/fleet/src/ibisport_fleet/explain.py
@@ -15,7 +15,7 @@
 
 from ibisport_fleet.eventlog import Event
 
-FIRST_FAILURE = 500
+MIN_FAILURE_STATUS = 500
 
 
 class Cause(Enum):
@@ -71,7 +71,7 @@
     unreadable: int = 0
     dropped: int = 0
 
-    def add(self, text: str) -> None:
+    def add_line(self, text: str) -> None:
         """Take one line."""
         start = text.find('{')
         try:
@@ -79,9 +79,9 @@
         except (msgspec.MsgspecError, ValueError):
             self.unreadable += 1
             return
-        self._take(line)
+        self._count_line(line)
 
-    def _take(self, line: _Line) -> None:
+    def _count_line(self, line: _Line) -> None:
         if line.event == Event.lines_dropped:
             self.dropped += line.lines
         cause = find_cause(line)
@@ -98,7 +98,7 @@
             rows.append(f'{count:7} {route or "-":16} {cause.value}')
         rows += ['', 'by second:']
         # Within a second the most frequent cause comes first.
-        by_second = sorted(self.by_second.most_common(), key=_read_second)
+        by_second = sorted(self.by_second.most_common(), key=_get_second)
         for (second, cause), count in by_second:
             rows.append(f'{second:11} {count:6} {cause.value}')
         rows += ['', f'lines left out by routers: {self.dropped}']
@@ -110,14 +110,14 @@
     """Return why a line's request was not served; None if the line tells of none."""
     match line.event:
         case Event.request_refused:
-            return _explain_refusal(line)
+            return _find_refusal_cause(line)
         case Event.request_failed:
-            return _explain_failure(line)
+            return _find_failure_cause(line)
         case Event.request_left:
             return Cause.caller_left
         case Event.request_cut:
             return Cause.process_ended
-        case Event.request_served if line.status >= FIRST_FAILURE:
+        case Event.request_served if line.status >= MIN_FAILURE_STATUS:
             return Cause.target_failed
     return None
 
@@ -126,11 +126,11 @@
     """Return what log lines tell."""
     found = Explanation()
     for line in lines:
-        found.add(line)
+        found.add_line(line)
     return found
 
 
-def _explain_refusal(line: _Line) -> Cause:
+def _find_refusal_cause(line: _Line) -> Cause:
     match line:
         case _Line(reason='no_catalogue'):
             return Cause.no_catalogue
@@ -147,7 +147,7 @@
     return Cause.not_allowed
 
 
-def _explain_failure(line: _Line) -> Cause:
+def _find_failure_cause(line: _Line) -> Cause:
     match line:
         case _Line(reason='timeout'):
             return Cause.timeout
@@ -160,7 +160,7 @@
     return Cause.broken
 
 
-def _read_second(row: tuple[tuple[int, Cause], int]) -> int:
+def _get_second(row: tuple[tuple[int, Cause], int]) -> int:
     return row[0][0]
 
 
--- a/tools/run_scenarios.py
+++ b/tools/run_scenarios.py
@@ -14,17 +14,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / 'KNOWN-RED.txt'
-FEATURES_AT_ONCE = 4
-FEATURE_TIMEOUT = 900
+MAX_CONCURRENT_FEATURES = 4
+FEATURE_TIMEOUT_SECONDS = 900
 # The list stays short: what grows past this is mended, not listed.
-MOST_KNOWN_RED = 8
+MAX_KNOWN_RED = 8
 PASSED = 'passed'
 FAILED = 'failed'
 SKIPPED = 'skipped'
 Outcome = tuple[str, str]
 
 
-def read_known_red() -> frozenset[str]:
+def load_known_red() -> frozenset[str]:
     """Return the names of the scenarios that may fail.
 
     Returns:
@@ -32,8 +32,8 @@
     """
     lines = KNOWN_RED.read_text().splitlines()
     kept = [line for line in lines if line.strip() and not line.startswith('#')]
-    if len(kept) > MOST_KNOWN_RED:
-        sys.exit(f'{KNOWN_RED.name} lists {len(kept)}, most is {MOST_KNOWN_RED}')
+    if len(kept) > MAX_KNOWN_RED:
+        sys.exit(f'{KNOWN_RED.name} lists {len(kept)}, most is {MAX_KNOWN_RED}')
     return frozenset(line.split('|')[0].strip() for line in kept)
 
 
@@ -56,11 +56,11 @@
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
-                timeout=FEATURE_TIMEOUT,
+                timeout=FEATURE_TIMEOUT_SECONDS,
             )
         except subprocess.TimeoutExpired:
             return [(f'{feature.name} timed out', FAILED)]
-        outcomes = _read_report(report)
+        outcomes = _load_report(report)
         bad = [name for name, status in outcomes if status == FAILED]
         if done.returncode and not bad:
             outcomes.append((f'{feature.name} ended with {done.returncode}', FAILED))
@@ -79,11 +79,11 @@
     Returns:
         Zero when nothing failed outside KNOWN-RED.txt.
     """
-    known_red = read_known_red()
+    known_red = load_known_red()
     features = sorted((ROOT / 'features').glob('*.feature'))
     if selected:
         features = [one for one in features if one.stem in selected]
-    with ThreadPoolExecutor(FEATURES_AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_CONCURRENT_FEATURES) as pool:
         outcomes = [pair for found in pool.map(run_feature, features) for pair in found]
     counts = Counter(status for _, status in outcomes)
     red = [name for name, status in outcomes if status == FAILED]
@@ -96,18 +96,18 @@
     return 1 if unexpected or not outcomes else 0
 
 
-def _read_report(report: Path) -> list[Outcome]:
+def _load_report(report: Path) -> list[Outcome]:
     if not report.exists() or not report.read_text().strip():
         return []
     found = []
     for feature in json.loads(report.read_text()):
         for element in feature.get('elements', ()):
             if element['type'] != 'background':
-                found.append((element['name'], _plain_status(element['status'])))
+                found.append((element['name'], _normalize_status(element['status'])))
     return found
 
 
-def _plain_status(status: str) -> str:
+def _normalize_status(status: str) -> str:
     if status in {PASSED, SKIPPED}:
         return status
     return FAILED
