--- a/features/docs.feature
+++ b/features/docs.feature
@@ -1,7 +1,7 @@
-Feature: The pages agree with the code
+Feature: The documentation agrees with the code
 
-  Scenario: Every log event is catalogued, and no other
+  Scenario: docs/EVENTS.md lists every log event, and no other
     Then docs/EVENTS.md lists exactly the events of the code
 
-  Scenario: Every refusal that a caller can get stands on the callers' page
+  Scenario: docs/CALLERS.md lists every refusal that a caller can get
     Then docs/CALLERS.md names the code and status of each refusal
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,4 +1,4 @@
-Feature: Why requests failed, from the routers' own log lines
+Feature: Causes of failed requests, from the routers' log lines
 
   Scenario Outline: Each kind of line has its cause
     Given a log line of event <event> with <fields>
@@ -23,7 +23,7 @@
       | 2405  | events=3                                                    | caller_left    |
       | 2407  | events=3 since_stop=3.1                                     | process_ended  |
 
-  Scenario: Lines that tell of no failure, and lines that are none, are counted apart
-    Given the lines of a router that served 3 requests, left 7 lines out and wrote 2 more
+  Scenario: Lines without a failure and lines that aren't events are counted separately
+    Given the lines of a router that served 3 requests, dropped 7 lines and wrote 2 lines that are no events
     When the log is explained
-    Then 3 are served, 7 are left out, 2 are no events and no cause is found
+    Then 3 are served, 7 are dropped, 2 are no events and no cause is found
--- a/features/steps/docs_steps.py
+++ b/features/steps/docs_steps.py
@@ -1,4 +1,4 @@
-"""Steps that compare the pages with the code."""
+"""Steps that compare the documentation with the code."""
 
 import re
 from pathlib import Path
@@ -10,7 +10,7 @@
 from ibisport_fleet.eventlog import Event as FleetEvent
 
 DOCS = Path(__file__).parents[2] / 'docs'
-# They pass between processes only, or answer a caller who has gone.
+# Only sent between processes, or to a caller that has disconnected.
 INTERNAL = frozenset(('refused', 'not_known', 'request_cancelled'))
 
 
@@ -19,21 +19,21 @@
     page = (DOCS / 'EVENTS.md').read_text()
     listed = re.findall(r'^\| (\d+) \| `(\w+)` \|', page, re.MULTILINE)
     events = [*Event, *FleetEvent]
-    assert listed == [(str(int(one)), one.name) for one in events], listed
+    assert listed == [(str(int(event)), event.name) for event in events], listed
 
 
 @then('docs/CALLERS.md names the code and status of each refusal')
 def check_refusals(context):
     page = (DOCS / 'CALLERS.md').read_text()
     rows = [line for line in page.splitlines() if line.startswith('| `')]
-    for kind in vars(errors).values():
-        if _is_sent_to_callers(kind):
-            found = [row for row in rows if f'`{kind.code}`' in row]
-            assert found, kind.code
-            assert f'| {kind.status} |' in found[0], found
+    for candidate in vars(errors).values():
+        if _is_sent_to_callers(candidate):
+            matches = [row for row in rows if f'`{candidate.code}`' in row]
+            assert matches, candidate.code
+            assert f'| {candidate.status} |' in matches[0], matches
 
 
-def _is_sent_to_callers(kind):
-    if not isinstance(kind, type) or not issubclass(kind, errors.Refusal):
+def _is_sent_to_callers(candidate):
+    if not isinstance(candidate, type) or not issubclass(candidate, errors.Refusal):
         return False
-    return kind.code not in INTERNAL
+    return candidate.code not in INTERNAL
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what routers' log lines tell of failed requests."""
+"""Steps for the causes of failed requests in routers' log lines."""
 
 import json
 
@@ -18,18 +18,18 @@
 
 @given('a log line of event {event:d} with {fields}')
 def write_line(context, event, fields):
-    pairs = [one.split('=') for one in fields.split()]
-    known = {'true': True}
-    found = {
-        name: known.get(text, int(text) if text.isdigit() else text)
+    pairs = [pair.split('=') for pair in fields.split()]
+    constants = {'true': True}
+    details = {
+        name: constants.get(text, int(text) if text.isdigit() else text)
         for name, text in pairs
     }
-    context.lines = [f'  0.25 host-1 {_format_line(event, **found)}\n']
+    context.lines = [f'  0.25 host-1 {_format_line(event, **details)}\n']
 
 
 @given(
-    'the lines of a router that served {served:d} requests, left {dropped:d} lines out '
-    'and wrote {others:d} more'
+    'the lines of a router that served {served:d} requests, dropped {dropped:d} lines '
+    'and wrote {others:d} lines that are no events'
 )
 def write_lines(context, served, dropped, others):
     context.lines = [
@@ -54,11 +54,15 @@
 
 
 @then(
-    '{served:d} are served, {dropped:d} are left out, {others:d} are no events '
+    '{served:d} are served, {dropped:d} are dropped, {others:d} are no events '
     'and no cause is found'
 )
 def check_counts(context, served, dropped, others):
-    found = context.explanation
-    assert (found.served, found.dropped, found.unreadable) == (served, dropped, others)
-    assert not found.by_route
-    assert not found.by_second
+    counts = context.explanation
+    assert (counts.served, counts.dropped, counts.unreadable) == (
+        served,
+        dropped,
+        others,
+    )
+    assert not counts.by_route
+    assert not counts.by_second
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the platform's settings file."""
+"""Steps for the platform's settings file."""
 
 import shutil
 import tempfile
@@ -28,15 +28,15 @@
 }
 
 
-@given('a settings file with {wrong}')
-def write_settings(context, wrong):
+@given('a settings file with {invalid_line}')
+def write_settings(context, invalid_line):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
     context.path = Path(folder) / 'settings.toml'
     context.path.write_text(SETTINGS)
-    # Without the wrong line the file is good.
+    # The file is valid without the invalid line.
     assert load_settings(context.path).host == 'edge-1'
-    context.path.write_text(SETTINGS + INVALID_LINES[wrong])
+    context.path.write_text(SETTINGS + INVALID_LINES[invalid_line])
 
 
 @when('it is read')
--- a/features/steps/shutdowns_steps.py
+++ b/features/steps/shutdowns_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the end of processes: what is on its way when they are told to stop."""
+"""Steps for work in progress when a process is told to stop."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
 from ibisport_fleet.eventlog import Event
 
-# Nothing is expected to take so long; it ends a test that would hang.
+# Ends a test that would hang; nothing is expected to take so long.
 TIMEOUT_SECONDS = 20.0
 SMALL_BUFFER_BYTES = 4_096
 READ_DELAY_SECONDS = 1.0
@@ -47,13 +47,13 @@
 
 
 class BlockingStore:
-    """A store that answers when it is told to.
+    """A store that holds back its answers until they are released.
 
     Attributes:
-        calls: What it has got.
-        got: Set at each call.
-        answering: Set when answers may go.
-        body: What it answers with.
+        calls: Data received so far.
+        received: Set at each call.
+        release: Set when answers may be sent.
+        body: Body of the answers.
     """
 
     def __init__(self):
@@ -66,7 +66,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self):
-        """Listen no more."""
+        """Stop listening."""
         self._listener.close()
 
     def _accept(self):
@@ -86,7 +86,7 @@
 
 
 def find_free_port():
-    """Return a port that was free a moment ago."""
+    """Return a port that was free when it was checked."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         return listener.getsockname()[1]
 
@@ -98,7 +98,7 @@
 
 
 def connect_with_small_buffer(port):
-    """Return a connection that takes little before it is read."""
+    """Return a connection with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     sock.settimeout(TIMEOUT_SECONDS)
@@ -128,7 +128,7 @@
 
 @fixture
 def run_store(context):
-    """Run a store that keeps its answers back."""
+    """Run a store that holds back its answers."""
     context.store = BlockingStore()
     yield context.store
     context.store.release.set()
@@ -137,9 +137,9 @@
 
 @fixture
 def run_program(context, program, store_port, prepare=None):
-    """Run one of the platform's programs until the scenario's end.
+    """Run one of the platform's programs until the scenario ends.
 
-    Its settings lie in a file, or in whatever ``prepare`` makes of the path.
+    Its settings are written to a file, unless ``prepare`` creates the path itself.
     """
     context.port = find_free_port()
     context.settings = format_settings(context.port, store_port)
@@ -161,14 +161,14 @@
         context.process.stdout.close()
 
 
-@given('a store that keeps its answers back, and a relay in front of it')
+@given('a store that holds back its answers, and a relay in front of it')
 def start_relay(context):
     use_fixture(run_store, context)
     use_fixture(run_program, context, 'relay', context.store.port)
     assert read_event(context.process, Event.process_started)
 
 
-@when("another router's connection waits for nothing")
+@when("another router's connection is idle")
 def open_idle_connection(context):
     context.other = connect_with_small_buffer(context.port)
     context.add_cleanup(context.other.close)
@@ -180,7 +180,7 @@
     context.other.sendall(STORE_CALL[:10])
 
 
-@when('the relay has passed a call on and is told to stop')
+@when('the relay has forwarded a call and is told to stop')
 def stop_relay_during_call(context):
     context.sock = connect_with_small_buffer(context.port)
     context.add_cleanup(context.sock.close)
@@ -194,7 +194,7 @@
 def release_large_answer(context, size):
     context.store.body = b'x' * size
     context.store.release.set()
-    # A process that doesn't wait for its reader ends now, and loses what it buffers.
+    # A process that doesn't wait for its reader ends now and loses buffered data.
     with contextlib.suppress(subprocess.TimeoutExpired):
         context.process.wait(READ_DELAY_SECONDS)
     context.answer = read_all(context.sock)
@@ -213,14 +213,14 @@
     assert b'connection: close' in head and ending == 'closed', (head, ending)
 
 
-@then('the relay has told of {count:d} call in flight and ends with code {code:d}')
+@then('the relay has reported {count:d} call in flight and ends with code {code:d}')
 def check_relay_stopped(context, count, code):
-    assert context.stopping, 'it said nothing before its end'
+    assert context.stopping, 'no process_stopping event was logged'
     assert context.stopping['in_flight'] == count, context.stopping
     assert context.process.wait(TIMEOUT_SECONDS) == code
 
 
-@then("the other router's connection ends while the call is on its way")
+@then("the other router's connection ends while the call is in progress")
 def check_idle_closed(context):
     assert read_all(context.other) == (b'', 'closed')
     assert context.process.poll() is None
@@ -236,13 +236,13 @@
     assert ending == 'closed', ending
 
 
-@then('the store has got {count:d} call')
+@then('the store has received {count:d} call')
 def check_store_calls(context, count):
     assert len(context.store.calls) == count, context.store.calls
 
 
 async def send_load(world, seconds, hosts):
-    """Send usual requests to some hosts."""
+    """Send a steady load of requests to some hosts."""
     for _ in range(int(seconds * REQUESTS_PER_SECOND)):
         world.ask(random.choice(hosts), REQUEST_TOKENS, 0.9, 0.3)
         await asyncio.sleep(1 / REQUESTS_PER_SECOND)
@@ -255,18 +255,18 @@
 
 @when('the lender is told to stop and ends {seconds:d} seconds later')
 def stop_lender(context, seconds):
-    async def play():
+    async def run():
         world = BudgetWorld(hosts=context.count, budget=BUDGET_TOKENS, seed=1)
         hosts = list(range(context.count))
         world.start_all()
         await send_load(world, SETTLING_SECONDS, hosts)
         context.lender = world.list_lenders(0)[0]
-        number = world.names.index(context.lender)
-        others = [one for one in hosts if one != number]
-        leaving = asyncio.create_task(world.leave(number, seconds))
+        lender_index = world.names.index(context.lender)
+        others = [host for host in hosts if host != lender_index]
+        leaving = asyncio.create_task(world.leave(lender_index, seconds))
         revision = world.service.revision
         await send_load(world, UNLIST_SECONDS, others)
-        context.listed = [world.list_lenders(one) for one in others]
+        context.listed = [world.list_lenders(host) for host in others]
         await send_load(world, 8 - UNLIST_SECONDS, others)
         await leaving
         context.page_writes = sum(
@@ -275,7 +275,7 @@
         )
         context.outcomes = world.outcomes
 
-    run_virtually(play())
+    run_virtually(run())
 
 
 @then('none of the requests of these 8 seconds is refused')
@@ -284,15 +284,15 @@
     assert context.outcomes['served'], context.outcomes
 
 
-@then('3 seconds after it was told no other router takes it for a lender')
+@then('3 seconds after the signal no other router lists it as a lender')
 def check_lender_unlisted(context):
-    listing = [one for one in context.listed if context.lender in one]
-    assert not listing, (context.lender, context.listed)
+    still_listed = [lenders for lenders in context.listed if context.lender in lenders]
+    assert not still_listed, (context.lender, context.listed)
 
 
-@then('within 8 seconds the shared page is written at most {most:d} times')
-def check_page_writes(context, most):
-    assert context.page_writes <= most, (context.page_writes, context.outcomes)
+@then('within 8 seconds the shared page is written at most {maximum:d} times')
+def check_page_writes(context, maximum):
+    assert context.page_writes <= maximum, (context.page_writes, context.outcomes)
 
 
 async def start_budget_world(context):
@@ -301,12 +301,12 @@
     world.start_all()
     await asyncio.sleep(SETTLING_SECONDS)
     lender = world.list_lenders(0)[0]
-    other = next(one for one, name in enumerate(world.names) if name != lender)
+    other = next(index for index, name in enumerate(world.names) if name != lender)
     return world, other
 
 
 async def stop_router(context, world, other):
-    """End a process, and note what counts as spent when all is quiet."""
+    """Stop a router and record what counts as spent once nothing runs any more."""
     await world.stop(other)
     await asyncio.sleep(1.0)
     context.used, context.delivered = world.count_used(), world.delivered
@@ -314,10 +314,10 @@
 
 
 @when(
-    'another one ends just after {count:d} requests that needed a tenth of their tokens'
+    'another one ends just after {count:d} requests that used a tenth of their tokens'
 )
 def stop_after_requests(context, count):
-    async def play():
+    async def run():
         world, other = await start_budget_world(context)
         for _ in range(count):
             world.ask(other, REQUEST_TOKENS, 0.1, 0.3)
@@ -325,19 +325,19 @@
             await asyncio.sleep(0.001)
         await stop_router(context, world, other)
 
-    run_virtually(play())
+    run_virtually(run())
 
 
-@when('another one ends while a loan is on its way for a caller that left')
+@when('another one ends during a loan for a caller that left')
 def stop_during_loan(context):
-    async def play():
+    async def run():
         world, other = await start_budget_world(context)
         caller = asyncio.create_task(world.borrow(other, REQUEST_TOKENS))
         await asyncio.sleep(LINK_SECONDS * 1.5)
         caller.cancel()
         await stop_router(context, world, other)
 
-    run_virtually(play())
+    run_virtually(run())
 
 
 @then('the lender counts no more as spent than callers got')
@@ -345,13 +345,13 @@
     assert context.used == context.delivered, (context.used, context.outcomes)
 
 
-@given('a {program} that is reading its settings at its start')
+@given('a {program} that is reading its settings at startup')
 def start_with_settings_pipe(context, program):
     use_fixture(run_store, context)
     use_fixture(run_program, context, program, context.store.port, prepare=os.mkfifo)
-    # Opens when the process opens the other end, which then waits for what comes.
+    # Blocks until the process opens the other end and waits for data.
     context.pipe = context.path.open('w')
-    # What it reads later lies in a file.
+    # A later read finds a regular file.
     changed = context.path.with_suffix('.new')
     changed.write_text(context.settings)
     changed.replace(context.path)
@@ -373,7 +373,7 @@
 
 
 def make_chunk(number, size):
-    """Return a piece of an answer as an agent sends it."""
+    """Return a chunk of an answer as an agent sends it."""
     return Chunk(bytes(16), 1, number * size, bytes(size))
 
 
@@ -393,16 +393,16 @@
     for number in range(count):
         context.link.send(make_chunk(number, size))
 
-    def end():
+    def drain():
         context.link.drain(time.monotonic() + TIMEOUT_SECONDS)
         context.link.close()
 
-    ending = threading.Thread(target=end)
-    ending.start()
-    ending.join(READ_DELAY_SECONDS)
+    thread = threading.Thread(target=drain)
+    thread.start()
+    thread.join(READ_DELAY_SECONDS)
     context.size = count * size
     context.answer = read_all(context.peer)
-    ending.join()
+    thread.join()
 
 
 @then('the peer has got all {count:d} messages')
@@ -412,19 +412,19 @@
 
 
 class ObservingLink:
-    """A link whose sender looks at the run in the middle of its last message."""
+    """A link that checks the state of a run while the run sends its last message."""
 
     def __init__(self):
         self.feed = None
         self.ended_early = None
 
     def send(self, message):
-        """Note whether the run counts as ended while its end is not sent yet."""
+        """Record whether the run counts as ended while its end is being sent."""
         if isinstance(message, Finished):
             self.ended_early = bool(self.feed.ended_at)
 
 
-@given("a link that keeps a run's last message waiting")
+@given('a link that observes a run while its last message is sent')
 def make_feed(context):
     context.link = ObservingLink()
     context.feed = context.link.feed = Feed(bytes(16))
@@ -437,7 +437,7 @@
     context.feed.finish(Finished(bytes(16), 1, 0, 0, 0, True, 0))
 
 
-@then("the run doesn't count as ended before that message is on its way")
+@then("the run doesn't count as ended before that message is sent")
 def check_not_ended_early(context):
     assert context.link.ended_early is False, context.link.ended_early
     assert context.feed.ended_at
--- a/features/steps/stopping_edges_steps.py
+++ b/features/steps/stopping_edges_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the edges of a stop: odd moments, graces, faults of the process."""
+"""Steps for edge cases of a stop: exact times, grace times, process failures."""
 
 import asyncio
 import math
@@ -28,7 +28,7 @@
 from ibisport_fleet.shutdown import plan_shutdown
 
 UNLIST_SECONDS = 0.5
-# What the virtual clock tells apart, s.
+# Resolution of the virtual clock, seconds.
 CLOCK_STEP = math.ulp(20.0)
 
 
@@ -36,14 +36,14 @@
 def fail_task_during_stream(context, seconds):
     async def act(site):
         await site.wait_until(-seconds)
-        asking = send_on_new_connection(site, encode_request('stream', 'early'))
+        task = send_on_new_connection(site, encode_request('stream', 'early'))
         site.fail_task()
-        return [await asking]
+        return [await task]
 
     context.site, context.answers = run_until_stopped([make_stream(seconds)], act)
 
 
-@then('the process has ended by itself and tells that it failed')
+@then('the process has ended by itself and reports that it failed')
 def check_failed(context):
     assert context.site.failed and not context.site.killed, context.site.ended_at
 
@@ -55,7 +55,7 @@
 
 @when(
     'the router is told to stop, writes take {write:g} s, and the last byte of a '
-    'request comes at each {step:g} s from {first:g} to {last:g} s'
+    'request arrives at each {step:g} s from {first:g} to {last:g} s'
 )
 def complete_request_during_write(context, write, step, first, last):
     async def act(site, moment):
@@ -73,8 +73,8 @@
 
 
 @when(
-    'the router is told to stop, writes take {write:g} s, and the connection of a '
-    'caller lands in the turn that comes {seconds:g} s after the signal'
+    "the router is told to stop, writes take {write:g} s, and a caller's connection "
+    'arrives in the event loop iteration {seconds:g} s after the signal'
 )
 def connect_during_last_check(context, write, seconds):
     async def act(site, moment):
@@ -93,12 +93,12 @@
 
 
 def _list_adjacent_times(moment):
-    """Return the numbers next to one: sums of times are rounded, one of them fits."""
+    """Return times adjacent to a time: sums are rounded, so one of them is exact."""
     return [moment + number * CLOCK_STEP for number in range(-8, 9)]
 
 
 async def _open_account_and_slow_store(site, write):
-    """Let the router hold tokens, so that it has an account, and slow the store."""
+    """Make the router open an account by using tokens, then slow the store down."""
     await site.wait_until(-1.0)
     await send_on_new_connection(
         site, encode_request('once', 'early', 'Token-Usage: 90,10\r\n')
@@ -109,29 +109,29 @@
 
 @then('each that the router has read is answered, and none is run and cut off')
 def check_read_requests_answered(context):
-    wrong = [
+    unanswered = [
         (answer, site.ended_at)
         for site, answer in context.runs
         if not (answer.refused or answer.whole or _crossed_close(site, answer))
     ]
-    assert not wrong, wrong
+    assert not unanswered, unanswered
 
 
 @when(
-    'the signal finds the process standing still for {still:g} s, and another stream '
-    'is asked for {seconds:g} s after that'
+    'the signal arrives while the process is paused for {paused:g} s, and another '
+    'stream is requested {seconds:g} s after that'
 )
-def stop_while_paused(context, still, seconds):
+def stop_while_paused(context, paused, seconds):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
         early = send_on_new_connection(site, encode_request('stream', 'early'))
-        await site.wait_until(still + seconds)
+        await site.wait_until(paused + seconds)
         return await early, await send_on_new_connection(
             site, encode_request('stream', 'late')
         )
 
     replies = [make_stream(context.lengths[0])]
-    context.site, context.answers = run_until_stopped(replies, act, stands_still=still)
+    context.site, context.answers = run_until_stopped(replies, act, stands_still=paused)
 
 
 @when('a stop is planned with a grace time of {grace:g} s')
@@ -140,32 +140,33 @@
     context.shutdown = plan_shutdown(100.0, grace)
 
 
-@then('its moments are in order, and last answers come within its last sixth')
+@then('its times are in order, and final answers are sent within its last sixth')
 def check_planned_times(context):
-    one = context.shutdown
-    killed_at = one.begun_at + context.grace
-    moments = [
-        one.begun_at,
-        one.accepts_until,
-        one.listening_until,
-        one.settlement_at,
-        one.answers_until,
-        one.ends_at,
+    planned = context.shutdown
+    killed_at = planned.begun_at + context.grace
+    times = [
+        planned.begun_at,
+        planned.accepts_until,
+        planned.listening_until,
+        planned.settlement_at,
+        planned.answers_until,
+        planned.ends_at,
         killed_at,
     ]
-    assert moments == sorted(moments), moments
-    assert killed_at - one.answers_until <= context.grace / 6, one
+    assert times == sorted(times), times
+    assert killed_at - planned.answers_until <= context.grace / 6, planned
 
 
 @when(
-    'the router is told to stop with a grace time of {grace:g} s as the time of a '
-    'request runs out'
+    'the router is told to stop with a grace time of {grace:g} s as the timeout of a '
+    'request expires'
 )
 def stop_at_request_timeout(context, grace):
     request = encode_request('once', 'short', 'Deadline-Ms: 999\r\n')
 
     async def act(site, moment):
-        # One millisecond on the way: its time is over in the turn of the signal.
+        # Arrives one millisecond later, so it times out in the loop iteration of the
+        # signal.
         await site.wait_until(moment)
         return await send_on_new_connection(site, request)
 
@@ -189,7 +190,7 @@
 
 @when('it leaves in the middle of a renewal that takes {seconds:g} s')
 def leave_during_renewal(context, seconds):
-    async def play():
+    async def run():
         loop = asyncio.get_running_loop()
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
         store = context.service.open_store('a')
@@ -199,14 +200,14 @@
         await asyncio.sleep(1.0)
         assert _list_members(context.service)
         context.service.faults.slow = seconds / ANSWER_SECONDS
-        # The next turn begins 1.5 s after the first one has ended.
+        # The next renewal starts 1.5 s after the first one has ended.
         await asyncio.sleep(0.6)
         member.leave()
         await asyncio.sleep(UNLIST_SECONDS + seconds)
         context.members = _list_members(context.service)
         task.cancel()
 
-    run_virtually(play())
+    run_virtually(run())
 
 
 @then('it is off the list {seconds:g} s later')
@@ -217,7 +218,7 @@
 
 @when('it leaves while the store is down for {seconds:g} s')
 def leave_during_outage(context, seconds):
-    async def play():
+    async def run():
         loop = asyncio.get_running_loop()
         log = EventLog(os.open(os.devnull, os.O_WRONLY))
         service = context.service
@@ -227,24 +228,24 @@
         await asyncio.sleep(1.0)
         assert _list_members(service)
         service.faults.down = True
-        before = service.calls
+        calls_before = service.calls
         member.leave()
         await asyncio.sleep(seconds)
-        context.calls = service.calls - before
+        context.calls = service.calls - calls_before
         service.faults.down = False
         await asyncio.sleep(UNLIST_SECONDS)
         context.members = _list_members(service)
         task.cancel()
 
-    run_virtually(play())
+    run_virtually(run())
 
 
 @then(
-    'it has called the store at most {most:d} times, and is off the list when the '
+    'it has called the store at most {maximum:d} times, and is off the list when the '
     'store is back'
 )
-def check_store_calls(context, most):
-    assert context.calls <= most, context.calls
+def check_store_calls(context, maximum):
+    assert context.calls <= maximum, context.calls
     assert not context.members, context.members
 
 
@@ -253,6 +254,6 @@
 
 
 def _crossed_close(site, answer):
-    """Whether a request met a close on its way, so that nobody has read it."""
-    took = answer.ended_at - answer.sent_at
-    return took <= ROUND_TRIP_SECONDS and not site.has_got('late')
+    """Return whether the close crossed the request, so that it was never read."""
+    duration = answer.ended_at - answer.sent_at
+    return duration <= ROUND_TRIP_SECONDS and not site.has_got('late')
--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -1,4 +1,4 @@
-"""Steps on random plays of a router that is told to stop."""
+"""Steps for random trials of a router that is told to stop."""
 
 import asyncio
 import random
@@ -22,20 +22,21 @@
 from ibisport_bench.memorytransport import Link
 
 GRACE_RANGE = (4.0, 12.0)
-# Few requests leave moments in which the process waits for one of them only.
+# With few requests, the process sometimes waits for one of them only.
 REQUEST_COUNTS = (2, 6, 40)
-# Who was sent on so long after the signal and still runs near the end may be cut off.
+# A request that reached its target by this time after the signal may be cut off if it
+# still runs near the end.
 LATEST_SEND_SECONDS = 3.0
 FINAL_FRACTION = 1 / 6
 TOKEN_HEADER = 'Token-Usage: 90,10\r\n'
 LINKS = (Link(), Link(delay=0.05), Link(rate=20_000.0, room=16_384))
-# A call of the store takes 5 ms, 50 ms or 0.4 s.
+# Store calls take 5 ms, 50 ms or 0.4 s.
 STORE_SLOWDOWNS = (1.0, 10.0, 80.0)
 
 
 @dataclass(frozen=True, slots=True)
 class _PlannedRequest:
-    """One request; its last byte comes ``rest`` seconds after the others."""
+    """A request whose last byte is sent ``last_byte_delay`` seconds after the rest."""
 
     name: str
     content: bytes
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TrialPlan:
-    """What happens in one play; moments are seconds after the signal."""
+    """Random choices of one trial; times are seconds after the signal."""
 
     grace: float
     link: Link
@@ -55,40 +56,50 @@
     callers: list
 
 
-def _draw_request(chance, number):
-    kind = chance.choice(('stream', 'stream', 'idempotent', 'once'))
-    limit = chance.choice((TIME_LIMIT_SECONDS, chance.uniform(0.1, 4.0)))
-    extra = f'{TOKEN_HEADER}Deadline-Ms: {round(limit * 1_000)}\r\n'
-    rest = chance.choice((0.0, 0.0, 0.0, chance.uniform(0.05, 3.0)))
+def _draw_request(rng, number):
+    kind = rng.choice(('stream', 'stream', 'idempotent', 'once'))
+    timeout = rng.choice((TIME_LIMIT_SECONDS, rng.uniform(0.1, 4.0)))
+    extra = f'{TOKEN_HEADER}Deadline-Ms: {round(timeout * 1_000)}\r\n'
+    last_byte_delay = rng.choice((0.0, 0.0, 0.0, rng.uniform(0.05, 3.0)))
     name = f'call-{number}'
-    pause = chance.choice((0.0, chance.uniform(0.0, 2.0)))
-    return _PlannedRequest(name, encode_request(kind, name, extra), limit, pause, rest)
+    pause = rng.choice((0.0, rng.uniform(0.0, 2.0)))
+    return _PlannedRequest(
+        name, encode_request(kind, name, extra), timeout, pause, last_byte_delay
+    )
 
 
 def _draw_trial(seed):
-    chance = random.Random(seed)
-    grace = chance.choice((8.0, chance.uniform(*GRACE_RANGE)))
-    size = chance.choice(REQUEST_COUNTS)
-    asked = [_draw_request(chance, number) for number in range(size)]
+    rng = random.Random(seed)
+    grace = rng.choice((8.0, rng.uniform(*GRACE_RANGE)))
+    count = rng.choice(REQUEST_COUNTS)
+    requests = [_draw_request(rng, number) for number in range(count)]
     callers = []
-    while asked:
-        callers.append((chance.uniform(-2.0, grace), asked[:3]))
-        asked = asked[3:]
-    streams = [make_stream(chance.uniform(0.3, grace)) for _ in range(size)]
-    replies = [chance.choice((one, make_burst(9_000))) for one in streams]
-    link, slowness = chance.choice(LINKS), chance.choice(STORE_SLOWDOWNS)
-    return _TrialPlan(grace, link, slowness, replies, callers)
+    while requests:
+        callers.append((rng.uniform(-2.0, grace), requests[:3]))
+        requests = requests[3:]
+    streams = [make_stream(rng.uniform(0.3, grace)) for _ in range(count)]
+    replies = [rng.choice((stream, make_burst(9_000))) for stream in streams]
+    link, store_slowdown = rng.choice(LINKS), rng.choice(STORE_SLOWDOWNS)
+    return _TrialPlan(grace, link, store_slowdown, replies, callers)
 
 
-async def _send_in_sequence(site, begun_at, asked):
+async def _send_in_sequence(site, start_at, requests):
     caller = Caller(site)
     answers = []
-    await site.wait_until(begun_at)
-    for one in asked:
-        await asyncio.sleep(one.pause)
-        cut = len(one.content) - 1 if one.last_byte_delay else len(one.content)
-        words = one.content[:cut], one.content[cut:], site.now + one.last_byte_delay
-        answers.append((one, await caller.ask(*words)))
+    await site.wait_until(start_at)
+    for request in requests:
+        await asyncio.sleep(request.pause)
+        cut = (
+            len(request.content) - 1
+            if request.last_byte_delay
+            else len(request.content)
+        )
+        parts = (
+            request.content[:cut],
+            request.content[cut:],
+            site.now + request.last_byte_delay,
+        )
+        answers.append((request, await caller.ask(*parts)))
     return answers
 
 
@@ -97,29 +108,29 @@
 
     async def act(site):
         site.net.links[ROUTER, CALLER] = plan.link
-        asking = [site.call(_send_in_sequence(site, *one)) for one in plan.callers]
+        tasks = [site.call(_send_in_sequence(site, *caller)) for caller in plan.callers]
         await site.wait_until(0.0)
         site.service.faults.slow = plan.store_slowdown
-        turns = await asyncio.gather(*asking)
-        return [one for turn in turns for one in turn]
+        results = await asyncio.gather(*tasks)
+        return [pair for pairs in results for pair in pairs]
 
     with mock.patch('running_router.GRACE_SECONDS', plan.grace):
         return plan, *run_until_stopped(plan.replies, act, PREPAID)
 
 
-def _find_fault(plan, site, asked, answer):
+def _find_fault(trial, site, request, answer):
     """Return what is wrong with an answer, or None."""
-    ran = site.has_got(asked.name)
+    ran = site.has_got(request.name)
     if answer.whole or answer.refused:
         return 'ran though refused' if ran and answer.status == 503 else None
     if not ran:
         late = (
-            answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS + 2 * plan.link.delay
+            answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS + 2 * trial.link.delay
         )
         return 'read, and closed without an answer' if late else None
-    if answer.ended_at >= answer.sent_at + asked.timeout - ROUND_TRIP_SECONDS:
+    if answer.ended_at >= answer.sent_at + request.timeout - ROUND_TRIP_SECONDS:
         return None
-    near_end = answer.ended_at >= plan.grace * (1 - FINAL_FRACTION)
+    near_end = answer.ended_at >= trial.grace * (1 - FINAL_FRACTION)
     return (
         None
         if answer.sent_at <= LATEST_SEND_SECONDS and near_end
@@ -127,25 +138,25 @@
     )
 
 
-@given('{count:d} plays of a router that is told to stop, drawn from seed {seed:d}')
+@given('{count:d} trials of a router that is told to stop, drawn from seed {seed:d}')
 def set_seeds(context, count, seed):
     context.seeds = range(seed, seed + count)
 
 
-@when('each is played')
+@when('each trial is run')
 def run_trials(context):
     context.trials = {seed: _run_trial(seed) for seed in context.seeds}
 
 
-@then('each request that the router has read got what it was promised')
+@then('each request that the router has read is answered as the stop allows')
 def check_answers(context):
-    found = [
-        (seed, asked.name, fault, answer, site.ended_at)
-        for seed, (plan, site, answers) in context.trials.items()
-        for asked, answer in answers
-        if (fault := _find_fault(plan, site, asked, answer))
+    faults = [
+        (seed, request.name, fault, answer, site.ended_at)
+        for seed, (trial, site, answers) in context.trials.items()
+        for request, answer in answers
+        if (fault := _find_fault(trial, site, request, answer))
     ]
-    assert not found, '\n'.join(map(str, found))
+    assert not faults, '\n'.join(map(str, faults))
 
 
 @then('each process has ended by itself within the grace time')
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a router that is told to stop, in virtual time."""
+"""Steps for a router that is told to stop, in virtual time."""
 
 import asyncio
 
@@ -23,11 +23,11 @@
 
 from ibisport_bench.memorytransport import Link
 
-# The longest that a refusal may take: it needs no answer from anyone.
+# Maximum time until a refusal, which waits for no other process.
 MAX_REFUSAL_SECONDS = 0.5
-# A target saw the request, so the answer can't say that it did not run.
+# The target received the request, so the answer can't say that it did not run.
 UNCERTAIN_STATUSES = frozenset((500, 502, 504))
-# Calls of the store take 2 s each way: no request waits for so long.
+# Store calls take 2 s each way, longer than any request waits.
 STORE_SLOWDOWN = 1_000.0
 SLOW_LINK = Link(rate=50_000.0, room=16_384)
 LARGE_ANSWER_BYTES = 200_000
@@ -35,7 +35,7 @@
 
 @given('a running router')
 def start_default_router(context):
-    """Do nothing: the next step starts it."""
+    """Do nothing: the next step starts the router."""
 
 
 @given('a running router whose target takes {first:g} s for a stream')
@@ -49,13 +49,13 @@
 
 
 @when(
-    'the router is told to stop, and the stream is asked for {seconds:g} s later '
-    'on a {age} connection'
+    'the router is told to stop, and the stream is requested {seconds:g} s later '
+    'on a {kind} connection'
 )
-def send_after_stop(context, seconds, age):
+def send_after_stop(context, seconds, kind):
     async def act(site):
         caller = Caller(site)
-        if age == 'kept':
+        if kind == 'kept':
             await site.wait_until(-1.0)
             earlier = await site.call(
                 caller.ask(encode_request('idempotent', 'before'))
@@ -64,7 +64,7 @@
         await site.wait_until(seconds)
         return await site.call(caller.ask(encode_request('stream', 'late')))
 
-    before = [make_plain()] if age == 'kept' else []
+    before = [make_plain()] if kind == 'kept' else []
     context.runs = [
         run_until_stopped([*before, make_stream(length)], act)
         for length in context.lengths
@@ -72,8 +72,8 @@
 
 
 @then(
-    'the caller gets the whole answer, or 503 at once with a time to come back '
-    'and the target saw nothing'
+    'the caller gets the complete answer, or an immediate 503 with Retry-After '
+    'and nothing reaches the target'
 )
 def check_whole_or_refused(context):
     for site, answer in context.runs:
@@ -84,7 +84,7 @@
 
 @when(
     'the router is told to stop, and an earlier stream ends {seconds:g} s later '
-    'with another one asked for right after it'
+    'with another one requested right after it'
 )
 def send_behind_stream(context, seconds):
     begun_at = -1.0
@@ -99,19 +99,22 @@
     context.site, context.answers = run_until_stopped(replies, act)
 
 
-@then('the earlier stream is whole')
+@then('the earlier stream is complete')
 def check_first_stream(context):
     earlier = context.answers[0]
     assert earlier.whole and earlier.status == 200, earlier
 
 
-@then('the later one is whole, or was refused or not taken and the target saw nothing')
+@then(
+    'the later one is complete, or was refused or not accepted and nothing reached '
+    'the target'
+)
 def check_second_stream(context):
     _check_whole_or_not_sent(context.site, context.answers[1], 'late')
 
 
 @when(
-    'the router is told to stop, and a stream and a plain request are asked for '
+    'the router is told to stop, and a stream and a plain request are sent '
     '{seconds:g} s later'
 )
 def send_stream_and_plain(context, seconds):
@@ -125,7 +128,7 @@
     context.site, context.answers = run_until_stopped(replies, act)
 
 
-@then('both answers are whole and say that the connection closes')
+@then('both answers are complete and say that the connection closes')
 def check_closing_answers(context):
     for answer in context.answers:
         assert answer.whole and answer.status == 200, answer
@@ -138,28 +141,28 @@
 
 
 @when(
-    'the router is told to stop, the store grows slow, and requests for tokens come '
-    'each {step:g} s from {first:g} s on until the grace time ends'
+    'the router is told to stop, the store becomes slow, and requests for tokens '
+    'arrive every {step:g} s from {first:g} s on until the grace time ends'
 )
 def send_during_slow_store(context, step, first):
     count = round((GRACE_SECONDS - first) / step)
     moments = [round(first + step * number, 3) for number in range(count)]
 
-    async def ask(site, moment):
-        # Its body comes late: the connection isn't idle, and stays.
+    async def send(site, moment):
+        # The end of the body arrives late, so the connection isn't closed as idle.
         extra = 'Token-Usage: 90000,100\r\n'
         request = encode_request('idempotent', f'at-{moment}', extra)
         return await Caller(site).ask(request[:-1], request[-1:], moment)
 
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
-        # The process has a reason to stay as long as a stream runs.
-        holding = send_on_new_connection(site, encode_request('stream', 'holding'))
+        # The process stays as long as this stream runs.
+        open_stream = send_on_new_connection(site, encode_request('stream', 'holding'))
         await asyncio.sleep(ROUND_TRIP_SECONDS)
-        asking = [site.call(ask(site, moment)) for moment in moments]
+        tasks = [site.call(send(site, moment)) for moment in moments]
         await site.wait_until(first - 1.0)
         site.service.faults.slow = STORE_SLOWDOWN
-        answers = await asyncio.gather(holding, *asking)
+        answers = await asyncio.gather(open_stream, *tasks)
         return answers[1:]
 
     replies = [make_stream(GRACE_SECONDS - BEFORE_SIGNAL_SECONDS)]
@@ -167,35 +170,38 @@
     context.answers = dict(zip(moments, answers, strict=True))
 
 
-@then('each that the router has read is answered with 503, and the target saw none')
+@then('each that the router has read is answered with 503, and none reaches the target')
 def check_refused_when_read(context):
-    taken = 0
-    wrong = []
+    refused_count = 0
+    late = []
     for moment, answer in context.answers.items():
         assert not context.site.has_got(f'at-{moment}'), answer
         if answer.status is None:
             if answer.ended_at - answer.sent_at > ROUND_TRIP_SECONDS:
-                wrong.append(answer)
+                late.append(answer)
             continue
         assert answer.whole and answer.status == 503, answer
         assert float(answer.headers[b'retry-after']) > 0, answer
-        taken += 1
-    assert taken and not wrong, (taken, wrong, context.site.ended_at)
+        refused_count += 1
+    assert refused_count and not late, (refused_count, late, context.site.ended_at)
 
 
-@given('a running router whose target never gives a byte')
+@given('a running router whose target never sends a byte')
 def set_silent_target(context):
     context.replies = [make_silence()]
 
 
-@when('requests of each kind are sent on, and the router is told to stop')
+@when('requests of each kind are sent to the target, and the router is told to stop')
 def send_to_silent_target(context):
     kinds = ('stream', 'idempotent', 'once')
 
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
-        asking = [send_on_new_connection(site, encode_request(k, k)) for k in kinds]
-        answers = await asyncio.gather(*asking)
+        tasks = [
+            send_on_new_connection(site, encode_request(route_kind, route_kind))
+            for route_kind in kinds
+        ]
+        answers = await asyncio.gather(*tasks)
         assert all(site.has_got(kind) for kind in kinds), site.target.requests
         return answers
 
@@ -204,8 +210,8 @@
 
 @then('each gets a final status that does not say that it did not run')
 def check_uncertain_statuses(context):
-    wrong = [one for one in context.answers if not one.whole]
-    assert not wrong, (wrong, context.site.ended_at)
+    incomplete = [result for result in context.answers if not result.whole]
+    assert not incomplete, (incomplete, context.site.ended_at)
     for answer in context.answers:
         assert answer.status in UNCERTAIN_STATUSES, answer
 
@@ -220,25 +226,26 @@
     async def act(site):
         site.net.links[ROUTER, CALLER] = SLOW_LINK
         await site.wait_until(seconds)
-        asking = []
+        tasks = []
         for kind in ('idempotent', 'stream'):
-            asking.append(send_on_new_connection(site, encode_request(kind, kind)))
+            tasks.append(send_on_new_connection(site, encode_request(kind, kind)))
             await asyncio.sleep(ROUND_TRIP_SECONDS)
-        return await asyncio.gather(*asking)
+        return await asyncio.gather(*tasks)
 
     context.site, context.answers = run_until_stopped(context.replies, act)
 
 
 @then('the callers get every byte')
 def check_large_answers(context):
-    wrong = [one for one in context.answers if not one.whole]
-    assert not wrong, (wrong, context.site.ended_at)
+    incomplete = [result for result in context.answers if not result.whole]
+    assert not incomplete, (incomplete, context.site.ended_at)
     for answer in context.answers:
         assert answer.status == 200 and answer.size >= LARGE_ANSWER_BYTES, answer
 
 
 @when(
-    'the router is told to stop, and a stream begun before it ends {seconds:g} s later'
+    'the router is told to stop, and a stream started before it ends {seconds:g} s '
+    'later'
 )
 def stop_during_stream(context, seconds):
     async def act(site):
@@ -250,26 +257,27 @@
 
 
 @when(
-    'the router is told to stop, a stream begun before it ends {seconds:g} s later, '
-    'and plain requests come {first:g} and {second:g} s later on new connections'
+    'the router is told to stop, a stream started before it ends {seconds:g} s later, '
+    'and plain requests arrive {first:g} and {second:g} s later on new connections'
 )
 def send_plain_during_stream(context, seconds, first, second):
     async def act(site):
         await site.wait_until(BEFORE_SIGNAL_SECONDS)
-        asking = [send_on_new_connection(site, encode_request('stream', 'early'))]
+        tasks = [send_on_new_connection(site, encode_request('stream', 'early'))]
         for moment in (first, second):
             await site.wait_until(moment)
             request = encode_request('once', f'at-{moment}', LATE_DEADLINE)
-            asking.append(send_on_new_connection(site, request))
-        return await asyncio.gather(*asking)
+            tasks.append(send_on_new_connection(site, request))
+        return await asyncio.gather(*tasks)
 
     replies = [make_stream(seconds - BEFORE_SIGNAL_SECONDS), make_plain()]
     context.site, context.answers = run_until_stopped(replies, act)
 
 
 @when(
-    'the router is told to stop, a stream begun before it ends {seconds:g} s later, '
-    'and a caller connects {first:g} s later and asks {pause:g} s after that'
+    'the router is told to stop, a stream started before it ends {seconds:g} s later, '
+    'and a caller connects {first:g} s later and sends a request {pause:g} s after '
+    'that'
 )
 def send_on_idle_connection(context, seconds, first, pause):
     async def act(site):
@@ -285,9 +293,9 @@
 
 
 @when(
-    'the router is told to stop, a stream begun before it ends {seconds:g} s later, '
-    'and streams come {first:g} s later on a kept and {second:g} s later on a new '
-    'connection'
+    'the router is told to stop, a stream started before it ends {seconds:g} s later, '
+    'and streams are requested {first:g} s later on a kept and {second:g} s later on '
+    'a new connection'
 )
 def send_late_streams(context, seconds, first, second):
     async def act(site):
@@ -306,19 +314,21 @@
 
 
 @then(
-    'the first may come back within {pause:g} s, and the second when {least:g} to '
-    '{most:g} s have passed since the signal'
+    'the first may retry within {pause:g} s, and the second when {earliest:g} to '
+    '{latest:g} s have passed since the signal'
 )
-def check_retry_after(context, pause, least, most):
+def check_retry_after(context, pause, earliest, latest):
     _, kept, new = context.answers
     for name, answer in (('kept', kept), ('new', new)):
         _check_refusal(context.site, answer, name)
     assert float(kept.headers[b'retry-after']) <= pause, kept
-    back_at = new.sent_at + float(new.headers[b'retry-after'])
-    assert least <= back_at + ROUND_TRIP_SECONDS < most + ROUND_TRIP_SECONDS * 2, new
+    retry_at = new.sent_at + float(new.headers[b'retry-after'])
+    assert (
+        earliest <= retry_at + ROUND_TRIP_SECONDS < latest + ROUND_TRIP_SECONDS * 2
+    ), new
 
 
-@then('all answers are whole')
+@then('all answers are complete')
 def check_all_answers(context):
     for answer in context.answers:
         assert answer.whole and answer.status == 200, (answer, context.site.ended_at)
--- a/features/stopping_plays.feature
+++ b/features/stopping_plays.feature
@@ -1,7 +1,7 @@
-Feature: Random plays of a router that is told to stop
+Feature: Random trials of a router that is told to stop
 
-  Scenario: Every request gets what it was promised
-    Given 40 plays of a router that is told to stop, drawn from seed 1
-    When each is played
-    Then each request that the router has read got what it was promised
+  Scenario: Every request gets an answer that the stop allows
+    Given 40 trials of a router that is told to stop, drawn from seed 1
+    When each trial is run
+    Then each request that the router has read is answered as the stop allows
     And each process has ended by itself within the grace time
--- a/packages/fleet/src/ibisport_fleet/eventlog.py
+++ b/packages/fleet/src/ibisport_fleet/eventlog.py
@@ -1,4 +1,4 @@
-"""Numbered events, one JSON object a line; docs/EVENTS.md is their catalogue."""
+"""Writes numbered log events, one JSON object per line; docs/EVENTS.md lists them."""
 
 import os
 import time
@@ -6,14 +6,14 @@
 
 import msgspec
 
-# Lines a second in the mean and at once. One line costs about 15 us, so the log
-# stays under 0.2 % of a core at the first figure.
+# Sustained rate and burst size. A line costs about 15 us, so the log takes less than
+# 0.2 % of a core at the sustained rate.
 MAX_LINES_PER_SECOND = 100.0
 MAX_BURST_LINES = 400.0
 
 
 class Event(IntEnum):
-    """Every event that this package logs; numbers are never used again."""
+    """All events that this package logs; numbers are never reused."""
 
     process_started = 2001
     process_stopping = 2002
@@ -57,10 +57,10 @@
 
 
 class EventLog:
-    """Writes events to a file descriptor without ever waiting for its reader.
+    """Writes events to a file descriptor without blocking on its reader.
 
-    Lines beyond the budget, or that the reader doesn't take, are left out and
-    counted; the next line that fits tells how many.
+    Lines beyond the rate limit, and lines that the reader isn't ready for, are dropped
+    and counted. The count is written before the next line that fits.
     """
 
     def __init__(self, descriptor: int = 1) -> None:
@@ -74,11 +74,11 @@
 
     @property
     def dropped(self) -> int:
-        """Lines left out since the last one that said how many were."""
+        """Lines dropped since the last count that was written."""
         return self._dropped
 
     def refill(self, seconds: float) -> None:
-        """Add the lines that so many seconds allow."""
+        """Add the lines that the rate limit allows for some seconds."""
         earned = seconds * MAX_LINES_PER_SECOND
         self._available_lines = min(MAX_BURST_LINES, self._available_lines + earned)
 
@@ -86,8 +86,8 @@
         """Write one event.
 
         Args:
-            event: Its number and name.
-            details: Facts about it; never keys, prompts or answers.
+            event: Number and name of the event.
+            details: Fields of the event; never keys, prompts or answers.
         """
         now = time.monotonic()
         self.refill(now - self._refilled_at)
@@ -120,7 +120,7 @@
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody reads any more: what can't be written can't be kept.
+            # The reader is gone, so the lines can't be written any more.
             self._unwritten = b''
             return True
         self._unwritten = self._unwritten[written:]
--- a/packages/fleet/src/ibisport_fleet/explain.py
+++ b/packages/fleet/src/ibisport_fleet/explain.py
@@ -1,8 +1,8 @@
-"""Tells from routers' log lines which requests failed, when and why.
+"""Counts from routers' log lines which requests failed, when and why.
 
 ``python -m ibisport_fleet.explain < lines`` prints two tables: causes by route, and
-causes by second. Lines of several routers may be mixed; whatever stands before a line's
-first brace is left out.
+causes by second. Lines of several routers may be mixed; text before a line's first
+brace is ignored.
 """
 
 import sys
@@ -19,7 +19,7 @@
 
 
 class Cause(Enum):
-    """Why a request was not served, as its router saw it."""
+    """Why a request failed, as recorded by its router."""
 
     budget_spent = 'the budget is spent'
     lender_refused = 'a lender had no tokens at hand'
@@ -38,7 +38,7 @@
 
 
 class _Line(msgspec.Struct):
-    """The fields of a line that matter here; others are passed over."""
+    """The fields of a log line that are used here; others are ignored."""
 
     timestamp: float
     event: int
@@ -55,14 +55,14 @@
 
 @dataclass
 class Explanation:
-    """What the lines of a span of time tell.
+    """Counts of the requests in a sequence of log lines.
 
     Attributes:
         served: Requests that were answered with success.
-        by_route: How often each cause struck each route.
-        by_second: How often each cause struck in each second of the time of day.
-        unreadable: Lines that are no events.
-        dropped: Lines that the routers left out themselves.
+        by_route: Failures by route and cause.
+        by_second: Failures by second of Unix time and cause.
+        unreadable: Lines that aren't events.
+        dropped: Lines that the routers left out of their logs.
     """
 
     served: int = 0
@@ -72,7 +72,7 @@
     dropped: int = 0
 
     def add_line(self, text: str) -> None:
-        """Take one line."""
+        """Count one line."""
         start = text.find('{')
         try:
             line = _DECODER.decode(text[start:] if start >= 0 else text)
@@ -92,12 +92,12 @@
             self.served += 1
 
     def format(self) -> str:
-        """Return both tables as text."""
+        """Return both tables and the totals as text."""
         rows = [f'served: {self.served}', '', 'by route:']
         for (route, cause), count in self.by_route.most_common():
             rows.append(f'{count:7} {route or "-":16} {cause.value}')
         rows += ['', 'by second:']
-        # Within a second the most frequent cause comes first.
+        # The sort is stable, so the most frequent cause of a second comes first.
         by_second = sorted(self.by_second.most_common(), key=_get_second)
         for (second, cause), count in by_second:
             rows.append(f'{second:11} {count:6} {cause.value}')
@@ -107,7 +107,7 @@
 
 
 def find_cause(line: _Line) -> Cause | None:
-    """Return why a line's request was not served; None if the line tells of none."""
+    """Return why a line's request failed; None if the line reports no failure."""
     match line.event:
         case Event.request_refused:
             return _find_refusal_cause(line)
@@ -123,11 +123,11 @@
 
 
 def explain(lines: Iterable[str]) -> Explanation:
-    """Return what log lines tell."""
-    found = Explanation()
+    """Return the counts of log lines."""
+    explanation = Explanation()
     for line in lines:
-        found.add_line(line)
-    return found
+        explanation.add_line(line)
+    return explanation
 
 
 def _find_refusal_cause(line: _Line) -> Cause:
--- a/packages/fleet/src/ibisport_fleet/settings.py
+++ b/packages/fleet/src/ibisport_fleet/settings.py
@@ -1,4 +1,4 @@
-"""What a router's process is told at its start."""
+"""Settings that a router or relay gets at its start."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures that the deployment sets.
+    """Limits that the deployment sets.
 
     Attributes:
-        retry_ratio: Second sends that the fleet may make for each request.
-        retry_slack: Second sends that it may make besides.
+        retry_ratio: Retries that the fleet may send for each request.
+        retry_slack: Retries that it may send in addition.
         retry_window: Sliding window of both, seconds.
-        stop_grace: Time from the signal to stop until the process is killed,
-            seconds.
-        change_bound: Longest time after which a change of the catalogue or of the
-            targets must be in force, seconds.
+        stop_grace: Time from the stop signal until the process is killed, seconds.
+        max_propagation_delay: Maximum time until a change of the catalogue or of the
+            targets takes effect, seconds.
     """
 
     retry_ratio: float
@@ -28,19 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Who this process is and whom it talks to.
+    """Identity of a process and the addresses that it uses.
 
     Attributes:
         host: Name of the host.
-        domain: Its failure domain.
-        peer_address: Where this host's process listens for the other ones; the
-            port is the same on all hosts.
-        metrics_address: Where the metrics are served, besides readiness.
-        callers_address: Where callers' connections arrive, or None.
-        readiness_address: Where the balancer asks whether new ones may come, or
-            None.
-        store_address: The key-value service.
-        bounds: Figures of the deployment.
+        domain: Failure domain of the host.
+        peer_address: Address for connections of other hosts' processes; the port is
+            the same on all hosts.
+        metrics_address: Additional address that serves metrics and readiness.
+        callers_address: Address for callers' connections, or None.
+        readiness_address: Address where the load balancer asks whether to send new
+            connections, or None.
+        store_address: Address of the key-value service.
+        bounds: Limits that the deployment sets.
     """
 
     host: str
