--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -24,8 +24,8 @@
 GRACE_RANGE = (4.0, 12.0)
 # With few requests, the process sometimes waits for one of them only.
 REQUEST_COUNTS = (2, 6, 40)
-# A request that reached its target by this time after the signal may be cut off if it
-# still runs near the end.
+# A request sent by this time after the signal may be cut off if it still runs near the
+# end.
 LATEST_SEND_SECONDS = 3.0
 FINAL_FRACTION = 1 / 6
 TOKEN_HEADER = 'Token-Usage: 90,10\r\n'
--- a/packages/fleet/src/ibisport_fleet/explain.py
+++ b/packages/fleet/src/ibisport_fleet/explain.py
@@ -1,4 +1,4 @@
-"""Counts from routers' log lines which requests failed, when and why.
+"""Counts failed requests by cause, route and second, from routers' log lines.
 
 ``python -m ibisport_fleet.explain < lines`` prints two tables: causes by route, and
 causes by second. Lines of several routers may be mixed; text before a line's first
