--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the platform's settings file."""
+"""Steps for the platform's settings file."""
 
 import shutil
 import tempfile
@@ -18,7 +18,7 @@
 address = "127.0.0.1:8742"
 [bounds]
 """
-WRONG_LINES = {
+INVALID_LINES = {
     'a grace time of -1': 'graceS = -1',
     'a grace time of nan': 'graceS = nan',
     'a grace time of inf': 'graceS = inf',
@@ -28,19 +28,19 @@
 }
 
 
-@given('a settings file with {wrong}')
-def write_settings(context, wrong):
+@given('a settings file with {invalid_line}')
+def write_settings(context, invalid_line):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
     context.path = Path(folder) / 'settings.toml'
     context.path.write_text(SETTINGS)
-    # Without the wrong line the file is good.
+    # The file is valid without the invalid line.
     assert load_settings(context.path).host == 'edge-1'
-    context.path.write_text(SETTINGS + WRONG_LINES[wrong])
+    context.path.write_text(SETTINGS + INVALID_LINES[invalid_line])
 
 
 @when('it is read')
-def read_settings(context):
+def load_invalid_settings(context):
     context.refusal = None
     try:
         load_settings(context.path)
@@ -49,5 +49,5 @@
 
 
 @then('it is refused, and the reason is told')
-def check_refused_settings(context):
+def check_settings_rejected(context):
     assert context.refusal is not None and 'settings' in str(context.refusal)
--- a/packages/fleet/src/ibisport_fleet/eventlog.py
+++ b/packages/fleet/src/ibisport_fleet/eventlog.py
@@ -1,4 +1,4 @@
-"""Numbered events, one JSON object a line; docs/EVENTS.md is their catalogue."""
+"""Writes numbered log events, one JSON object per line; docs/EVENTS.md lists them."""
 
 import os
 import time
@@ -6,14 +6,14 @@
 
 import msgspec
 
-# Lines a second in the mean and at once. One line costs about 15 us, so the log
-# stays under 0.2 % of a core at the first figure.
-LINES_PER_SECOND = 100.0
-MOST_LINES_AT_ONCE = 400.0
+# Sustained rate and burst size. A line costs about 15 us, so the log takes less than
+# 0.2 % of a core at the sustained rate.
+MAX_LINES_PER_SECOND = 100.0
+MAX_BURST_LINES = 400.0
 
 
 class Event(IntEnum):
-    """Every event that this package logs; numbers are never used again."""
+    """All events that this package logs; numbers are never reused."""
 
     process_started = 2001
     process_stopping = 2002
@@ -57,51 +57,51 @@
 
 
 class EventLog:
-    """Writes events to a file descriptor without ever waiting for its reader.
+    """Writes events to a file descriptor without blocking on its reader.
 
-    Lines beyond the budget, or that the reader doesn't take, are left out and
-    counted; the next line that fits tells how many.
+    Lines beyond the rate limit, and lines that the reader isn't ready for, are dropped
+    and counted. The count is written before the next line that fits.
     """
 
     def __init__(self, descriptor: int = 1) -> None:
         self._descriptor = descriptor
         self._encoder = msgspec.json.Encoder()
-        self._allowance = MOST_LINES_AT_ONCE
-        self._refilled = time.monotonic()
+        self._available_lines = MAX_BURST_LINES
+        self._refilled_at = time.monotonic()
         self._dropped = 0
-        self._rest = b''
+        self._unwritten = b''
         os.set_blocking(descriptor, False)
 
     @property
     def dropped(self) -> int:
-        """Lines left out since the last one that said how many were."""
+        """Lines dropped since the last count that was written."""
         return self._dropped
 
     def refill(self, seconds: float) -> None:
-        """Add the lines that so many seconds allow."""
-        earned = seconds * LINES_PER_SECOND
-        self._allowance = min(MOST_LINES_AT_ONCE, self._allowance + earned)
+        """Add the lines that the rate limit allows for some seconds."""
+        earned = seconds * MAX_LINES_PER_SECOND
+        self._available_lines = min(MAX_BURST_LINES, self._available_lines + earned)
 
     def write(self, event: Event, **details: object) -> None:
         """Write one event.
 
         Args:
-            event: Its number and name.
-            details: Facts about it; never keys, prompts or answers.
+            event: Number and name of the event.
+            details: Fields of the event; never keys, prompts or answers.
         """
         now = time.monotonic()
-        self.refill(now - self._refilled)
-        self._refilled = now
-        if self._allowance < 1 or not self._flush_rest():
+        self.refill(now - self._refilled_at)
+        self._refilled_at = now
+        if self._available_lines < 1 or not self._flush():
             self._dropped += 1
             return
-        self._allowance -= 1
+        self._available_lines -= 1
         if self._dropped:
-            self._put(Event.lines_dropped, now, {'lines': self._dropped})
+            self._append(Event.lines_dropped, now, {'lines': self._dropped})
             self._dropped = 0
-        self._put(event, now, details)
+        self._append(event, now, details)
 
-    def _put(self, event: Event, now: float, details: dict[str, object]) -> None:
+    def _append(self, event: Event, now: float, details: dict[str, object]) -> None:
         record = {
             'timestamp': round(time.time(), 3),
             'clock': round(now, 4),
@@ -109,19 +109,19 @@
             'message_type': event.name,
             **details,
         }
-        self._rest += self._encoder.encode(record) + b'\n'
-        self._flush_rest()
+        self._unwritten += self._encoder.encode(record) + b'\n'
+        self._flush()
 
-    def _flush_rest(self) -> bool:
-        if not self._rest:
+    def _flush(self) -> bool:
+        if not self._unwritten:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody reads any more: what can't be written can't be kept.
-            self._rest = b''
+            # The reader is gone, so the lines can't be written any more.
+            self._unwritten = b''
             return True
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
