--- a/packages/bench/src/ibisport_bench/soak/__main__.py
+++ b/packages/bench/src/ibisport_bench/soak/__main__.py
@@ -8,9 +8,9 @@
 
 import uvloop
 
+from ibisport_bench.soak.fault_injection import EXCLUSIVE_FAULTS, FAULT_WEIGHTS
 from ibisport_bench.soak.mutants import MUTANTS
-from ibisport_bench.soak.plan import ALONE, WEIGHTS
-from ibisport_bench.soak.run import Order, Verdict, run_seed
+from ibisport_bench.soak.run import RunOptions, Verdict, run_seed
 
 
 def main() -> int:
@@ -18,13 +18,13 @@
     chosen = parse_arguments()
     logs: Path = chosen.logs or Path(tempfile.mkdtemp(prefix='soak-'))
     # The faults that bring the mutant out.
-    only = MUTANTS[chosen.mutant].play if chosen.mutant else chosen.only
+    only = MUTANTS[chosen.mutant].fault_kind if chosen.mutant else chosen.only
     seeds = range(chosen.seed, chosen.seed + chosen.seeds)
     orders = [
-        Order(seed, chosen.seconds, chosen.routers, chosen.mutant, only)
+        RunOptions(seed, chosen.seconds, chosen.routers, chosen.mutant, only)
         for seed in seeds
     ]
-    failed = [order.seed for order in orders if not play(order, logs)]
+    failed = [order.seed for order in orders if not run_and_report(order, logs)]
     print(f'failed seeds: {failed}, logs in {logs}')
     return 1 if failed else 0
 
@@ -39,12 +39,14 @@
     parser.add_argument('--logs', type=Path, help='where logs of failed seeds stay')
     parser.add_argument('--mutant', choices=sorted(MUTANTS), help='must be caught')
     parser.add_argument(
-        '--only', choices=sorted({*WEIGHTS, *ALONE}), help='one kind of fault'
+        '--only',
+        choices=sorted({*FAULT_WEIGHTS, *EXCLUSIVE_FAULTS}),
+        help='one kind of fault',
     )
     return parser.parse_args()
 
 
-def play(order: Order, logs: Path) -> bool:
+def run_and_report(order: RunOptions, logs: Path) -> bool:
     """Play one seed and print its verdict; whether it is as it should be."""
     folder = logs / f'seed-{order.seed}'
     shutil.rmtree(folder, ignore_errors=True)
--- a/packages/bench/src/ibisport_bench/soak/stories.py
+++ b/packages/bench/src/ibisport_bench/soak/analysis.py
@@ -5,10 +5,17 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from ibisport_bench.soak.evidence import Ask, Cause, Fault, Journal, Run, Start
+from ibisport_bench.soak.evidence import (
+    Cause,
+    Fault,
+    Journal,
+    RequestRecord,
+    Run,
+    Start,
+)
 
 # A disturbance is felt for so long; the platform's pages give the figure.
-CONTACT_S = 3.0
+RECOVERY_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +23,7 @@
     """A promise that didn't hold, and its story."""
 
     check: str
-    story: str
+    description: str
 
 
 class Evidence:
@@ -47,18 +54,18 @@
             for fault in self.journal.faults
             if not fault.cause.planned
             and fault.subject in subjects
-            and fault.touches(begun, ended)
+            and fault.overlaps(begun, ended)
         ]
 
-    def in_touch(self, ask: Ask, begun: float, ended: float) -> bool:
+    def is_undisturbed(self, ask: RequestRecord, begun: float, ended: float) -> bool:
         """Whether a request's router was undisturbed in a span and before it."""
         start = self.starts[ask.router, ask.start]
         subjects = [ask.router, 'store', f'store of {ask.router}']
-        since = begun - CONTACT_S
+        since = begun - RECOVERY_SECONDS
         calm = not self.find_unplanned(subjects, since, ended)
         return calm and start.begun < since and start.told > ended
 
-    def tell(self, ask: Ask) -> str:
+    def describe(self, ask: RequestRecord) -> str:
         """Return the story of a request, by the clock of its sending."""
         lines = [
             f'{ask.request_id} {ask.kind.value} at {ask.router} (start {ask.start}): '
@@ -82,12 +89,12 @@
             f'{fault.begun - ask.sent:+.3f} to {fault.ended - ask.sent:+.3f} s'
             for fault in self.journal.faults
             if fault.cause is not Cause.stop
-            and fault.touches(_find_begin(ask, start, fault), ask.ended)
+            and fault.overlaps(_find_relevant_since(ask, start, fault), ask.ended)
         ]
         return '\n      '.join(lines)
 
 
-def _find_begin(ask: Ask, start: Start, fault: Fault) -> float:
+def _find_relevant_since(ask: RequestRecord, start: Start, fault: Fault) -> float:
     """Return since when a fault is told: its own router's since SIGTERM."""
-    near = ask.sent - CONTACT_S
+    near = ask.sent - RECOVERY_SECONDS
     return min(near, start.told) if fault.subject == ask.router else near
--- a/packages/bench/src/ibisport_bench/soak/checks.py
+++ b/packages/bench/src/ibisport_bench/soak/checks.py
@@ -6,43 +6,43 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from ibisport_bench.soak.configuration import check_back, check_late
+from ibisport_bench.soak.analysis import RECOVERY_SECONDS, Evidence, Violation
+from ibisport_bench.soak.catalogue_checks import check_back, check_late
 from ibisport_bench.soak.evidence import (
-    PROMISES,
-    Ask,
+    NOT_EXECUTED_STATUSES,
+    AdvertisedLimit,
     Journal,
     Kind,
-    NamedLimit,
+    RequestRecord,
     Run,
     Start,
     make_body,
 )
-from ibisport_bench.soak.site import GRACE_S
-from ibisport_bench.soak.stories import CONTACT_S, Evidence, Violation
+from ibisport_bench.soak.site import GRACE_SECONDS
 
 # A connection that ends later than this after a request was read it.
-LOSS_SLACK_S = 0.2
+CLOSE_RACE_SECONDS = 0.2
 # Streams that come so early may be cut in the last sixth of the grace time.
-EARLY_S = 3.0
-LAST_PART = 5 / 6
+EARLY_REQUEST_SECONDS = 3.0
+MIN_GRACE_SHARE = 5 / 6
 # The platform's bound for new work at a target that leaves, and as much again for a
 # slow machine.
-DRAIN_S = 2.0 * 2
+MAX_DRAIN_DELAY_SECONDS = 2.0 * 2
 STATUS_OK = 200
 # After so many targets have ended under a request it may be sent so often.
-MOST_ENDS = 3
-MOST_LATE_SENDS = 3
+FATAL_THRESHOLD = 3
+MAX_LATE_SENDS = 3
 # How far a target's rate limit may be exceeded in a window, and how soon a router that
 # was told must know.
-LIMIT_WINDOW_S = 4.0
+LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_FACTOR = 1.5
 LIMIT_SLACK = 5
-TOLD_S = 0.5
+LIMIT_APPLY_SECONDS = 0.5
 # A program that has served nothing and ends so soon may have met a signal before it
 # could hold any back; the interpreter's own start is not the product's.
-START_S = 1.0
+STARTUP_SECONDS = 1.0
 # Answers of a router's own to requests that every catalogue allows.
-DENIALS = frozenset((400, 401, 403, 404, 413, 431))
+REJECTION_STATUSES = frozenset((400, 401, 403, 404, 413, 431))
 EVENT_END = b'\n\n'
 
 
@@ -51,27 +51,28 @@
     for ask in evidence.journal.asks:
         runs = evidence.runs[ask.request_id]
         # Without a run, and cut at once, it crossed the close of its connection.
-        was_read = bool(runs) or ask.ended - ask.sent > LOSS_SLACK_S
-        if not ask.whole and was_read and not is_excused(evidence, ask, runs):
-            yield Violation('LOST', evidence.tell(ask))
+        was_read = bool(runs) or ask.ended - ask.sent > CLOSE_RACE_SECONDS
+        if not ask.whole and was_read and not is_loss_allowed(evidence, ask, runs):
+            yield Violation('LOST', evidence.describe(ask))
 
 
-def is_excused(evidence: Evidence, ask: Ask, runs: list[Run]) -> bool:
+def is_loss_allowed(evidence: Evidence, ask: RequestRecord, runs: list[Run]) -> bool:
     """Whether something unplanned, or a late end of the grace, may have cut it."""
-    since = ask.sent - CONTACT_S
+    since = ask.sent - RECOVERY_SECONDS
     if evidence.find_unplanned([ask.router], since, ask.ended):
         return True
     if any(
-        run.broken_off or evidence.find_unplanned(name_target(run), ask.sent, ask.ended)
+        run.broken_off
+        or evidence.find_unplanned(list_target_subjects(run), ask.sent, ask.ended)
         for run in runs
     ):
         return True
     told = evidence.starts[ask.router, ask.start].told
-    early = ask.sent - told <= EARLY_S
-    return early and ask.ended - told >= GRACE_S * LAST_PART
+    early = ask.sent - told <= EARLY_REQUEST_SECONDS
+    return early and ask.ended - told >= GRACE_SECONDS * MIN_GRACE_SHARE
 
 
-def name_target(run: Run) -> list[str]:
+def list_target_subjects(run: Run) -> list[str]:
     """Return the subjects of faults at a run's target and its link."""
     place = run.target.rpartition('-')[0]
     return [run.target, f'link of {place}']
@@ -81,29 +82,29 @@
     """No request that may run once runs twice."""
     for ask in evidence.journal.asks:
         if not ask.kind.repeatable and len(evidence.runs[ask.request_id]) > 1:
-            yield Violation('TWICE', evidence.tell(ask))
+            yield Violation('TWICE', evidence.describe(ask))
 
 
 def check_refused(evidence: Evidence) -> Iterator[Violation]:
     """A request whose answer promises that it never runs has never run."""
     for ask in evidence.journal.asks:
-        if ask.status in PROMISES and evidence.runs[ask.request_id]:
-            yield Violation('REFUSED', evidence.tell(ask))
+        if ask.status in NOT_EXECUTED_STATUSES and evidence.runs[ask.request_id]:
+            yield Violation('REFUSED', evidence.describe(ask))
 
 
 def check_whole(evidence: Evidence) -> Iterator[Violation]:
     """An answer is its target's, whole if it looks so, a beginning if not."""
     for ask in evidence.journal.asks:
         if ask.status == STATUS_OK:
-            true = is_true(ask, evidence.runs[ask.request_id])
+            true = is_authentic(ask, evidence.runs[ask.request_id])
         else:
-            denied = ask.status in DENIALS and ask.kind is not Kind.mark
+            denied = ask.status in REJECTION_STATUSES and ask.kind is not Kind.mark
             true = not (denied or ask.seal)
         if not true:
-            yield Violation('WHOLE', evidence.tell(ask))
+            yield Violation('WHOLE', evidence.describe(ask))
 
 
-def is_true(ask: Ask, runs: list[Run]) -> bool:
+def is_authentic(ask: RequestRecord, runs: list[Run]) -> bool:
     """Whether a success is what a target sent for this request."""
     expected = make_body(ask.request_id, ask.events)
     whole = ask.body == expected if ask.whole else expected.startswith(ask.body)
@@ -129,13 +130,13 @@
     for run in evidence.journal.runs:
         drained = evidence.journal.drains.get(run.target, run.begun)
         ask = asks[run.request_id]
-        late = run.begun > drained + DRAIN_S
+        late = run.begun > drained + MAX_DRAIN_DELAY_SECONDS
         held_up = evidence.find_unplanned(
-            name_target(run), run.begun - CONTACT_S, run.begun
+            list_target_subjects(run), run.begun - RECOVERY_SECONDS, run.begun
         )
-        if late and not held_up and evidence.in_touch(ask, drained, run.begun):
+        if late and not held_up and evidence.is_undisturbed(ask, drained, run.begun):
             story = f'{run.begun - drained:.3f} s after the target began to leave'
-            yield Violation('DRAIN', f'{story}: {evidence.tell(ask)}')
+            yield Violation('DRAIN', f'{story}: {evidence.describe(ask)}')
 
 
 def check_fatal(evidence: Evidence) -> Iterator[Violation]:
@@ -144,17 +145,17 @@
     paths = {crash.path for crash in evidence.journal.crashes}
     for path in sorted(paths):
         ends = [one.at for one in evidence.journal.crashes if one.path == path]
-        if len(ends) < MOST_ENDS:
+        if len(ends) < FATAL_THRESHOLD:
             continue
-        since = ends[MOST_ENDS - 1] + CONTACT_S
+        since = ends[FATAL_THRESHOLD - 1] + RECOVERY_SECONDS
         late = [
             run
             for run in evidence.journal.runs
             if run.begun > since
             and (ask := asks[run.request_id]).path == path
-            and evidence.in_touch(ask, run.begun, run.begun)
+            and evidence.is_undisturbed(ask, run.begun, run.begun)
         ]
-        if len(late) > MOST_LATE_SENDS:
+        if len(late) > MAX_LATE_SENDS:
             story = f'{path}: {len(late)} runs, {len(ends)} targets ended'
             yield Violation('FATAL', story)
 
@@ -162,19 +163,20 @@
 def check_limits(evidence: Evidence) -> Iterator[Violation]:
     """A target gets no more than the limit that it names, with some slack."""
     for limit in evidence.journal.limits:
-        allowed = LIMIT_FACTOR * LIMIT_WINDOW_S * limit.rate + LIMIT_SLACK
-        counted = list_told(evidence, limit)
+        allowed = LIMIT_FACTOR * LIMIT_WINDOW_SECONDS * limit.rate + LIMIT_SLACK
+        counted = list_informed_sends(evidence, limit)
         for number, at in enumerate(counted):
-            size = number + 1 - bisect_right(counted, at - LIMIT_WINDOW_S)
-            if at >= limit.begun + CONTACT_S and size > allowed:
+            size = number + 1 - bisect_right(counted, at - LIMIT_WINDOW_SECONDS)
+            if at >= limit.begun + RECOVERY_SECONDS and size > allowed:
                 story = (
-                    f'{limit.target}: {size} in {LIMIT_WINDOW_S} s of {limit.rate}/s'
+                    f'{limit.target}: {size} in {LIMIT_WINDOW_SECONDS} s '
+                    f'of {limit.rate}/s'
                 )
                 yield Violation('LIMIT', story)
                 break
 
 
-def list_told(evidence: Evidence, limit: NamedLimit) -> list[float]:
+def list_informed_sends(evidence: Evidence, limit: AdvertisedLimit) -> list[float]:
     """Return when routers that knew of a limit sent to its target."""
     routers = {ask.request_id: ask.router for ask in evidence.journal.asks}
     runs = [
@@ -186,7 +188,7 @@
     for run in runs:
         router = routers[run.request_id]
         told[router] = min(run.named, told.get(router, math.inf))
-    since = {router: at + TOLD_S for router, at in told.items()}
+    since = {router: at + LIMIT_APPLY_SECONDS for router, at in told.items()}
     return [run.begun for run in runs if run.begun >= since[routers[run.request_id]]]
 
 
@@ -199,7 +201,7 @@
         if start.killed:
             if start is last[start.host]:
                 yield Violation('ENDS', f'{name} had to be killed after the run')
-        elif start.code and not is_early(start, served):
+        elif start.code and not is_startup_exit(start, served):
             story = (
                 f'{name} ended with {start.code}, {start.ended - start.begun:.3f} s '
                 f'after its start, SIGTERM at {start.told - start.begun:.3f} s'
@@ -207,7 +209,7 @@
             yield Violation('ENDS', story)
 
 
-def is_early(start: Start, served: set[tuple[str, int]]) -> bool:
+def is_startup_exit(start: Start, served: set[tuple[str, int]]) -> bool:
     """Whether a signal ended a program before it could take any.
 
     SIGTERM asked for the end, however long the start takes on a busy machine.
@@ -219,7 +221,7 @@
     if (start.host, start.number) in served:
         return False
     told = start.code == -signal.SIGTERM and start.told <= start.ended
-    return told or start.ended <= start.begun + START_S
+    return told or start.ended <= start.begun + STARTUP_SECONDS
 
 
 CHECKS: dict[str, Callable[[Evidence], Iterator[Violation]]] = {
--- a/packages/bench/src/ibisport_bench/soak/evidence.py
+++ b/packages/bench/src/ibisport_bench/soak/evidence.py
@@ -10,7 +10,7 @@
 
 STREAM_TOKENS_PER_EVENT = 1
 # Statuses that promise: not run, and never will be.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class Kind(Enum):
@@ -70,13 +70,13 @@
     detail: str = ''
     ended: float = math.inf
 
-    def touches(self, begun: float, ended: float) -> bool:
+    def overlaps(self, begun: float, ended: float) -> bool:
         """Whether it was on at some moment of a span."""
         return self.begun <= ended and self.ended >= begun
 
 
 @dataclass(slots=True)
-class Ask:
+class RequestRecord:
     """One request of a caller and what came back.
 
     Attributes:
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """A span in which a target named a rate limit.
 
     Attributes:
@@ -213,27 +213,29 @@
         lag: Longest time that this process itself was held up, seconds.
     """
 
-    asks: list[Ask] = field(default_factory=list)
+    asks: list[RequestRecord] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
     faults: list[Fault] = field(default_factory=list)
     starts: list[Start] = field(default_factory=list)
     versions: dict[int, float] = field(default_factory=dict)
     drains: dict[str, float] = field(default_factory=dict)
-    limits: list[NamedLimit] = field(default_factory=list)
+    limits: list[AdvertisedLimit] = field(default_factory=list)
     crashes: list[Crash] = field(default_factory=list)
     budgets: dict[str, int] = field(default_factory=dict)
     lag: float = 0.0
 
-    def begin(self, cause: Cause, subject: str, detail: str = '') -> Fault:
+    def record_fault(self, cause: Cause, subject: str, detail: str = '') -> Fault:
         """Note that something is done now."""
         fault = Fault(cause, subject, read_clock(), detail)
         self.faults.append(fault)
         return fault
 
     @contextmanager
-    def note(self, cause: Cause, subject: str, detail: str = '') -> Iterator[None]:
+    def track_fault(
+        self, cause: Cause, subject: str, detail: str = ''
+    ) -> Iterator[None]:
         """Note that something is done as long as the block runs."""
-        fault = self.begin(cause, subject, detail)
+        fault = self.record_fault(cause, subject, detail)
         try:
             yield
         finally:
--- a/packages/bench/src/ibisport_bench/soak/plan.py
+++ b/packages/bench/src/ibisport_bench/soak/fault_injection.py
@@ -7,33 +7,33 @@
 from typing import Any
 
 from ibisport_bench.soak.callers import Callers
-from ibisport_bench.soak.evidence import Cause, Journal, NamedLimit, read_clock
-from ibisport_bench.soak.links import TO_SINK, TO_SOURCE, WAYS, Link
+from ibisport_bench.soak.evidence import AdvertisedLimit, Cause, Journal, read_clock
+from ibisport_bench.soak.links import DIRECTIONS, TO_SINK, TO_SOURCE, Link
 from ibisport_bench.soak.processes import Host
-from ibisport_bench.soak.site import GRACE_S, Site
-from ibisport_bench.soak.targets import ENTRY_LAPSES_S, Ills, Target
-
-RESTART_S = (0.1, 1.5)
-SHORT_GAP_S = (0.2, 2.5)
-VERSION_GAP_S = (0.05, 0.4)
-MOST_VERSIONS = 5
-FIRST_FAULT_S = 2.0
+from ibisport_bench.soak.site import GRACE_SECONDS, Site
+from ibisport_bench.soak.targets import ENTRY_TIMEOUT_SECONDS, Target, TargetFaults
+
+RESTART_DELAY_SECONDS = (0.1, 1.5)
+ROLL_INTERVAL_SECONDS = (0.2, 2.5)
+VERSION_INTERVAL_SECONDS = (0.05, 0.4)
+MAX_VERSIONS = 5
+FIRST_FAULT_DELAY_SECONDS = 2.0
 # Mean pauses between two faults, one drawn for each run: from faults in series to
 # several at once.
-MEAN_PAUSES_S = (0.4, 1.0, 2.5)
+MEAN_INTERVALS_SECONDS = (0.4, 1.0, 2.5)
 # The same where only one kind is played.
-ONLY_PAUSE_S = 1.0
+SINGLE_KIND_INTERVAL_SECONDS = 1.0
 FAULT_SECONDS = (0.3, 4.0)
-LONGEST_DELAY_S = 0.4
+MAX_LINK_DELAY_SECONDS = 0.4
 RETRY_SLACKS = (5.0, 20.0, 40.0)
-MOST_SLOW = 60.0
+MAX_STORE_SLOWDOWN = 60.0
 LOST_SHARE, LATE_SHARE = 0.3, 0.2
 BROKEN_SHARE = 0.5
 ALL_LINKS_SHARE = 0.3
-LATEST_START_S = 1.5
+MAX_START_DELAY_SECONDS = 1.5
 STORE = 'store'
 # How often each fault is played, against the sum of all.
-WEIGHTS: Mapping[str, float] = {
+FAULT_WEIGHTS: Mapping[str, float] = {
     'roll_all': 2,
     'roll_one': 3,
     'crash': 2,
@@ -48,13 +48,13 @@
     'harm_target': 2,
 }
 # Played alone only: checks of the others' targets would have to be excused.
-ALONE = ('fatal', 'limit')
+EXCLUSIVE_FAULTS = ('fatal', 'limit')
 FATAL_SECONDS = 15.0
 LIMIT_SECONDS = 12.0
-LIMITS = (0.5, 2.4, 6.0)
+RATE_LIMITS_PER_SECOND = (0.5, 2.4, 6.0)
 
 
-class Plan:
+class FaultInjector:
     """The faults of one run."""
 
     def __init__(
@@ -78,22 +78,28 @@
         self._callers = callers
         self._journal = journal
         # What comes when doesn't hang on what the faults themselves draw.
-        self._order = random.Random(f'order {seed}')
+        self._schedule_random = random.Random(f'order {seed}')
         self._random = random.Random(f'plan {seed}')
         self._tasks: set[asyncio.Task[None]] = set()
-        self._leaving: set[str] = set()
+        self._leaving_services: set[str] = set()
         # Checks with time bounds need routers that are otherwise calm.
-        self._weights = WEIGHTS if only is None else {only: 1}
-        self._pause = ONLY_PAUSE_S if only else self._order.choice(MEAN_PAUSES_S)
+        self._weights = FAULT_WEIGHTS if only is None else {only: 1}
+        self._mean_interval = (
+            SINGLE_KIND_INTERVAL_SECONDS
+            if only
+            else self._schedule_random.choice(MEAN_INTERVALS_SECONDS)
+        )
 
     async def play(self, until: float) -> None:
         """Play faults until a clock time, and wait for the end of the last one."""
         names, weights = list(self._weights), list(self._weights.values())
-        await asyncio.sleep(FIRST_FAULT_S)
+        await asyncio.sleep(FIRST_FAULT_DELAY_SECONDS)
         while read_clock() < until:
-            name = self._order.choices(names, weights)[0]
+            name = self._schedule_random.choices(names, weights)[0]
             self._spawn(getattr(self, f'_{name}')())
-            await asyncio.sleep(self._order.expovariate(1 / self._pause))
+            await asyncio.sleep(
+                self._schedule_random.expovariate(1 / self._mean_interval)
+            )
         while self._tasks:
             await asyncio.wait(self._tasks)
 
@@ -107,12 +113,12 @@
         # A fault of the soak's own must not pass for a calm run.
         task.result()
 
-    def _draw(self, span: tuple[float, float]) -> float:
+    def _draw_uniform(self, span: tuple[float, float]) -> float:
         return self._random.uniform(*span)
 
     async def _roll_all(self) -> None:
         """Restart all routers in turn, several at once where the gap is short."""
-        gap = self._draw(SHORT_GAP_S)
+        gap = self._draw_uniform(ROLL_INTERVAL_SECONDS)
         for host in self._random.sample(self._site.routers, len(self._site.routers)):
             self._spawn(self._roll(host))
             await asyncio.sleep(gap)
@@ -121,65 +127,65 @@
         await self._roll(self._random.choice(self._site.hosts))
 
     async def _roll(self, host: Host) -> None:
-        await self._replace(host, host.stop(GRACE_S))
+        await self._restart_after(host, host.stop(GRACE_SECONDS))
 
     async def _crash(self) -> None:
         host = self._random.choice(self._site.hosts)
-        await self._replace(host, self._kill(host))
+        await self._restart_after(host, self._kill(host))
 
-    async def _replace(self, host: Host, work: Coroutine[Any, Any, None]) -> None:
-        if host.busy:
+    async def _restart_after(self, host: Host, work: Coroutine[Any, Any, None]) -> None:
+        if host.restarting:
             work.close()
             return
-        host.busy = True
+        host.restarting = True
         await work
-        await asyncio.sleep(self._draw(RESTART_S))
+        await asyncio.sleep(self._draw_uniform(RESTART_DELAY_SECONDS))
         await host.launch()
-        host.busy = False
+        host.restarting = False
 
     async def _kill(self, host: Host) -> None:
-        with self._journal.note(Cause.kill, host.name, ''):
+        with self._journal.track_fault(Cause.kill, host.name, ''):
             host.kill()
-            await host.wait(GRACE_S)
+            await host.wait(GRACE_SECONDS)
 
     async def _freeze(self) -> None:
         host = self._random.choice(self._site.hosts)
-        with self._journal.note(Cause.freeze, host.name, ''):
-            host.tell(signal.SIGSTOP)
-            await asyncio.sleep(self._draw(FAULT_SECONDS))
-            host.tell(signal.SIGCONT)
+        with self._journal.track_fault(Cause.freeze, host.name, ''):
+            host.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
+            host.send_signal(signal.SIGCONT)
 
     async def _reload(self) -> None:
         host = self._random.choice(self._site.routers)
         host.reload(self._random.choice(RETRY_SLACKS))
 
     async def _publish(self) -> None:
-        for _ in range(self._random.randint(1, MOST_VERSIONS)):
+        for _ in range(self._random.randint(1, MAX_VERSIONS)):
             if not self._site.service.faults.down:
                 self._site.publish()
-            await asyncio.sleep(self._draw(VERSION_GAP_S))
+            await asyncio.sleep(self._draw_uniform(VERSION_INTERVAL_SECONDS))
 
     async def _harm_store_link(self) -> None:
         links = list(self._site.store_links.values())
         if self._random.random() > ALL_LINKS_SHARE:
             links = [self._random.choice(links)]
-        harm = draw_harm(self._random)
-        await asyncio.gather(*(self._harm_link(link, *harm) for link in links))
+        harm = draw_link_fault(self._random)
+        await asyncio.gather(*(self._inject_link_fault(link, *harm) for link in links))
 
     async def _harm_target_link(self) -> None:
         target = self._random.choice(self._site.targets)
-        await self._harm_link(target.link, *draw_harm(self._random))
+        await self._inject_link_fault(target.link, *draw_link_fault(self._random))
 
-    async def _harm_link(self, link: Link, kind: str, seconds: float) -> None:
-        with self._journal.note(Cause.link, link.name, kind):
+    async def _inject_link_fault(self, link: Link, kind: str, seconds: float) -> None:
+        with self._journal.track_fault(Cause.link, link.name, kind):
             match kind:
                 case 'delay':
-                    link.delay = self._draw((0, LONGEST_DELAY_S))
+                    link.delay = self._draw_uniform((0, MAX_LINK_DELAY_SECONDS))
                 case 'reset':
                     link.reset()
                     return
                 case 'silence':
-                    link.silence(WAYS)
+                    link.silence(DIRECTIONS)
                 case way:
                     link.silence([way])
             await asyncio.sleep(seconds)
@@ -189,78 +195,84 @@
         faults = self._site.service.faults
         kinds = ('lose', 'late', 'slow', 'down', 'silent', 'lapse')
         kind = self._random.choice(kinds)
-        with self._journal.note(Cause.store, STORE, kind):
+        with self._journal.track_fault(Cause.store, STORE, kind):
             match kind:
                 case 'lose':
                     faults.lose = LOST_SHARE
                 case 'late':
                     faults.late = LATE_SHARE
                 case 'slow':
-                    faults.slow = self._draw((2, MOST_SLOW))
+                    faults.slow = self._draw_uniform((2, MAX_STORE_SLOWDOWN))
                 case 'down':
                     faults.down = True
                 case 'silent':
                     faults.cut.add('all')
                 case _:
                     self._site.service.end_leases()
-            await asyncio.sleep(self._draw(FAULT_SECONDS))
+            await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
             faults.lose, faults.late, faults.slow = 0.0, 0.0, 1.0
             faults.down = False
             faults.cut.clear()
 
     async def _drain(self) -> None:
         target = self._random.choice(self._site.targets)
-        if self._claim(target):
-            await target.leave()
-            await self._return(target)
+        if self._claim_service(target):
+            await target.drain()
+            await self._restart_target(target)
 
     async def _crash_target(self) -> None:
         target = self._random.choice(self._site.targets)
-        if self._claim(target):
+        if self._claim_service(target):
             target.end()
-            await asyncio.sleep(ENTRY_LAPSES_S)
-            await target.withdraw()
-            await self._return(target)
+            await asyncio.sleep(ENTRY_TIMEOUT_SECONDS)
+            await target.remove_entry()
+            await self._restart_target(target)
 
     async def _fatal(self) -> None:
         """Let one caller repeat a request that ends each target that runs it."""
-        await self._callers.repeat_fatal(FATAL_SECONDS)
+        await self._callers.repeat_fatal_request(FATAL_SECONDS)
 
     async def _limit(self) -> None:
         """Let a target name a rate limit for a while."""
         target = self._random.choice(self._site.targets)
-        if target.rate is not None:
+        if target.rate_limit is not None:
             return
-        target.rate = self._random.choice(LIMITS)
-        limit = NamedLimit(target.entry.incarnation, target.rate, read_clock())
+        target.rate_limit = self._random.choice(RATE_LIMITS_PER_SECOND)
+        limit = AdvertisedLimit(
+            target.entry.incarnation, target.rate_limit, read_clock()
+        )
         self._journal.limits.append(limit)
         await asyncio.sleep(LIMIT_SECONDS)
-        target.rate = None
+        target.rate_limit = None
         limit.ended = read_clock()
 
-    def _claim(self, target: Target) -> bool:
+    def _claim_service(self, target: Target) -> bool:
         """Whether a target may leave: at most one of each service at once."""
-        if target.entry.service in self._leaving:
+        if target.entry.service in self._leaving_services:
             return False
-        self._leaving.add(target.entry.service)
+        self._leaving_services.add(target.entry.service)
         return True
 
-    async def _return(self, target: Target) -> None:
-        await asyncio.sleep(self._draw(RESTART_S))
+    async def _restart_target(self, target: Target) -> None:
+        await asyncio.sleep(self._draw_uniform(RESTART_DELAY_SECONDS))
         await target.start()
-        self._leaving.discard(target.entry.service)
+        self._leaving_services.discard(target.entry.service)
 
     async def _harm_target(self) -> None:
         target = self._random.choice(self._site.targets)
-        late = self._draw((0, LATEST_START_S))
-        ills = Ills(breaks=BROKEN_SHARE) if late < 1 else Ills(late=late)
-        with self._journal.note(Cause.target, target.name, f'{ills}'):
-            target.ills = ills
-            await asyncio.sleep(self._draw(FAULT_SECONDS))
-            target.ills = Ills()
-
-
-def draw_harm(source: random.Random) -> tuple[str, float]:
+        late = self._draw_uniform((0, MAX_START_DELAY_SECONDS))
+        ills = (
+            TargetFaults(break_share=BROKEN_SHARE)
+            if late < 1
+            else TargetFaults(delay_seconds=late)
+        )
+        with self._journal.track_fault(Cause.target, target.name, f'{ills}'):
+            target.faults = ills
+            await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
+            target.faults = TargetFaults()
+
+
+def draw_link_fault(source: random.Random) -> tuple[str, float]:
     """Return what happens to a link, and for how many seconds."""
     kinds = ('delay', 'reset', 'silence', TO_SINK, TO_SOURCE)
     return source.choice(kinds), source.uniform(*FAULT_SECONDS)
--- a/packages/bench/src/ibisport_bench/soak/wire.py
+++ b/packages/bench/src/ibisport_bench/soak/http_messages.py
@@ -16,16 +16,16 @@
 class Head:
     """First line and headers of a message; names in lower case."""
 
-    start: bytes
+    start_line: bytes
     headers: dict[bytes, bytes]
 
     @property
     def status(self) -> int:
         """Status of an answer."""
         try:
-            return int(self.start.split(b' ')[1])
+            return int(self.start_line.split(b' ')[1])
         except (IndexError, ValueError) as error:
-            raise MessageInvalid(repr(self.start)) from error
+            raise MessageInvalid(repr(self.start_line)) from error
 
     @property
     def keeps_open(self) -> bool:
@@ -66,7 +66,9 @@
     return sum([len(piece) async for piece in read_body(reader, head)])
 
 
-def dump_message(start: str, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
+def encode_message(
+    start: str, headers: list[tuple[bytes, bytes]], body: bytes
+) -> bytes:
     """Return a whole message with its length."""
     lines = [start.encode()] + [name + b': ' + value for name, value in headers]
     lines.append(b'content-length: %d' % len(body))
--- a/packages/bench/src/ibisport_bench/soak/links.py
+++ b/packages/bench/src/ibisport_bench/soak/links.py
@@ -3,10 +3,10 @@
 import asyncio
 from collections.abc import Iterable
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 TO_SINK = 'to sink'
 TO_SOURCE = 'to source'
-WAYS = (TO_SINK, TO_SOURCE)
+DIRECTIONS = (TO_SINK, TO_SOURCE)
 Address = tuple[str, int]
 
 
@@ -22,17 +22,17 @@
 
     def __init__(self, name: str, front: Address, sink: Address) -> None:
         self.name = name
-        self.front = front
+        self.listen_address = front
         self.sink = sink
         self.delay = 0.0
-        self._flowing = {way: asyncio.Event() for way in WAYS}
+        self._flowing = {way: asyncio.Event() for way in DIRECTIONS}
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.heal()
 
     async def open(self) -> None:
         """Listen."""
-        self._server = await asyncio.start_server(self._serve, *self.front)
+        self._server = await asyncio.start_server(self._serve, *self.listen_address)
 
     def close(self) -> None:
         """Take no connection any more; those that stand end with their sinks."""
@@ -85,7 +85,7 @@
         piece = b'-'
         while piece:
             try:
-                piece = await reader.read(PIECE_BYTES)
+                piece = await reader.read(CHUNK_BYTES)
             except ConnectionError:
                 piece = b''
             if self.delay:
--- a/packages/bench/src/ibisport_bench/soak/mutants.py
+++ b/packages/bench/src/ibisport_bench/soak/mutants.py
@@ -25,12 +25,12 @@
 from ibisport_platform.records import decode_target
 
 # What is run without a patch, and the module that it loads and that is patched.
-entry = importlib.import_module('ibisport_platform.__main__')
+entry_point = importlib.import_module('ibisport_platform.__main__')
 program = importlib.import_module('ibisport_platform.programs')
-MODULE = 'ibisport_bench.soak.mutants'
+MUTANT_MODULE = 'ibisport_bench.soak.mutants'
 # When a router goes back to the version before, and when it takes the new one again.
-BACK_AFTER_S = 0.6
-FORTH_AFTER_S = 2.0
+ROLLBACK_DELAY_SECONDS = 0.6
+ROLL_FORWARD_DELAY_SECONDS = 2.0
 UNAVAILABLE = 503
 
 
@@ -45,7 +45,7 @@
     """
 
     check: str
-    play: str
+    fault_kind: str
     patch: Callable[[], None]
 
 
@@ -124,8 +124,10 @@
         if before is None or self.current is before:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(BACK_AFTER_S, patch, self, 'current', before)
-        loop.call_later(FORTH_AFTER_S, patch, self, 'current', self.current)
+        loop.call_later(ROLLBACK_DELAY_SECONDS, patch, self, 'current', before)
+        loop.call_later(
+            ROLL_FORWARD_DELAY_SECONDS, patch, self, 'current', self.current
+        )
 
     patch(CatalogueView, 'apply_change', swing)
 
@@ -168,7 +170,7 @@
     """Patch the program and run it as it is run without a patch."""
     name = sys.argv.pop(1)
     MUTANTS[name].patch()
-    entry.main()
+    entry_point.main()
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/soak/processes.py
+++ b/packages/bench/src/ibisport_bench/soak/processes.py
@@ -28,14 +28,14 @@
         self, role: str, settings: HostSettings, folder: Path, journal: Journal
     ) -> None:
         self.settings = settings
-        self.busy = False
+        self.restarting = False
         self.start = Start(settings.host, 0, read_clock())
         self._module = [PROGRAM, role]
         self._journal = journal
         self._log_path = folder / f'{settings.host}.log'
-        self._file = folder / f'{settings.host}.toml'
+        self._settings_path = folder / f'{settings.host}.toml'
         self._process: asyncio.subprocess.Process | None = None
-        self._watching: asyncio.Future[None] | None = None
+        self._exit_watcher: asyncio.Future[None] | None = None
 
     @property
     def name(self) -> str:
@@ -43,18 +43,18 @@
         return self.settings.host
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether its process has not ended."""
         return self._process is not None and self._process.returncode is None
 
-    def mutate(self, module: str, name: str) -> None:
+    def use_mutant(self, module: str, name: str) -> None:
         """Run a module of the soak that changes the program in memory."""
         self._module = [module, name, self._module[-1]]
 
     async def launch(self) -> None:
         """Start the process."""
-        self._file.write_text(format_settings(self.settings))
-        environment = {**os.environ, SETTINGS_VARIABLE: str(self._file)}
+        self._settings_path.write_text(format_settings(self.settings))
+        environment = {**os.environ, SETTINGS_VARIABLE: str(self._settings_path)}
         self.start = Start(self.name, self.start.number + 1, read_clock())
         self._journal.starts.append(self.start)
         with self._log_path.open('ab') as log:
@@ -67,26 +67,28 @@
                 stderr=log,
                 env=environment,
             )
-        self._watching = asyncio.ensure_future(self._watch(self._process, self.start))
+        self._exit_watcher = asyncio.ensure_future(
+            self._watch(self._process, self.start)
+        )
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal if the process has not ended."""
-        if self.runs and self._process is not None:
+        if self.is_running and self._process is not None:
             self._process.send_signal(number)
 
     async def stop(self, patience: float) -> None:
         """SIGTERM, and SIGKILL if it still runs after some seconds."""
-        with self._journal.note(Cause.stop, self.name):
+        with self._journal.track_fault(Cause.stop, self.name):
             self.start.told = read_clock()
-            self.tell(signal.SIGTERM)
+            self.send_signal(signal.SIGTERM)
             if not await self.wait(patience):
                 self.kill()
                 await self.wait(patience)
 
     def kill(self) -> None:
         """SIGKILL."""
-        self.start.killed = self.start.killed or self.runs
-        self.tell(signal.SIGKILL)
+        self.start.killed = self.start.killed or self.is_running
+        self.send_signal(signal.SIGKILL)
 
     async def wait(self, seconds: float) -> bool:
         """Wait for the end of the process; False if it still runs."""
@@ -102,9 +104,9 @@
         """Change the settings file and send SIGHUP."""
         bounds = replace(self.settings.bounds, retry_slack=retry_slack)
         self.settings = replace(self.settings, bounds=bounds)
-        self._file.write_text(format_settings(self.settings))
-        with self._journal.note(Cause.reload, self.name, f'slack {retry_slack}'):
-            self.tell(signal.SIGHUP)
+        self._settings_path.write_text(format_settings(self.settings))
+        with self._journal.track_fault(Cause.reload, self.name, f'slack {retry_slack}'):
+            self.send_signal(signal.SIGHUP)
 
     async def _watch(self, process: asyncio.subprocess.Process, start: Start) -> None:
         start.code = await process.wait()
--- a/packages/bench/src/ibisport_bench/soak/run.py
+++ b/packages/bench/src/ibisport_bench/soak/run.py
@@ -6,24 +6,24 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from ibisport_bench.soak.analysis import Violation
 from ibisport_bench.soak.callers import Callers
 from ibisport_bench.soak.checks import check_all
 from ibisport_bench.soak.evidence import Journal, read_clock
-from ibisport_bench.soak.mutants import MODULE
-from ibisport_bench.soak.plan import Plan
+from ibisport_bench.soak.fault_injection import FaultInjector
+from ibisport_bench.soak.mutants import MUTANT_MODULE
 from ibisport_bench.soak.processes import Host
-from ibisport_bench.soak.site import GRACE_S, Site
-from ibisport_bench.soak.stories import Violation
+from ibisport_bench.soak.site import GRACE_SECONDS, Site
 
-READY_SECONDS = 20.0
+READY_TIMEOUT_SECONDS = 20.0
 # Requests a second for each router, in the mean.
-RATE = 12.0
+REQUESTS_PER_SECOND = 12.0
 # Tokens that the tight workspaces have for each second and router.
-TIGHT_TOKENS = 150
+TIGHT_TOKENS_PER_SECOND = 150
 AMPLE_TOKENS = 100_000_000
 # No process should need more than its grace; a slow machine gets as much again.
-END_SECONDS = GRACE_S * 2
-LAG_PERIOD_S = 0.05
+MAX_EXIT_SECONDS = GRACE_SECONDS * 2
+LAG_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,12 +47,12 @@
             f'  faults {dict(faults)}, killed at the end of the grace: {len(killed)}',
             f'  violations: {len(self.violations)}',
         ]
-        lines += [f'  {one.check}: {one.story}' for one in self.violations]
+        lines += [f'  {one.check}: {one.description}' for one in self.violations]
         return '\n'.join(lines)
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class RunOptions:
     """What one run is to be.
 
     Attributes:
@@ -67,23 +67,28 @@
     seconds: float
     routers: int
     mutant: str | None = None
-    only: str | None = None
+    only_fault: str | None = None
 
 
-async def run_seed(order: Order, folder: Path) -> Verdict:
+async def run_seed(order: RunOptions, folder: Path) -> Verdict:
     """Play one seed."""
     seed = order.seed
     journal = Journal()
     source = random.Random(f'budgets {seed}')
-    tight = int(TIGHT_TOKENS * order.seconds * order.routers * source.uniform(0.5, 1.5))
+    tight = int(
+        TIGHT_TOKENS_PER_SECOND
+        * order.seconds
+        * order.routers
+        * source.uniform(0.5, 1.5)
+    )
     journal.budgets = {'tight': tight, 'ample': AMPLE_TOKENS}
     site = Site(order.routers, seed, folder, journal)
     if order.mutant is not None:
         for host in site.routers:
-            host.mutate(MODULE, order.mutant)
+            host.use_mutant(MUTANT_MODULE, order.mutant)
     measuring = asyncio.ensure_future(measure_lag(journal))
     try:
-        await play(site, journal, order)
+        await run_site(site, journal, order)
     finally:
         measuring.cancel()
         for host in site.hosts:
@@ -91,31 +96,34 @@
     return Verdict(seed, journal, check_all(journal))
 
 
-async def play(site: Site, journal: Journal, order: Order) -> None:
+async def run_site(site: Site, journal: Journal, order: RunOptions) -> None:
     """Start all, play the faults, wait for the last answers and end all."""
     await site.open()
     await wait_until_ready(site)
     callers = Callers(site.routers, site.keys, journal, order.seed)
     until = read_clock() + order.seconds
-    plan = Plan(site, callers, journal, order.seed, order.only)
-    await asyncio.gather(callers.press(RATE, until), plan.play(until - GRACE_S))
+    plan = FaultInjector(site, callers, journal, order.seed, order.only_fault)
+    await asyncio.gather(
+        callers.send_requests(REQUESTS_PER_SECOND, until),
+        plan.play(until - GRACE_SECONDS),
+    )
     await callers.finish()
-    await asyncio.gather(*(end_host(host) for host in site.hosts))
+    await asyncio.gather(*(stop_host(host) for host in site.hosts))
 
 
-async def end_host(host: Host) -> None:
+async def stop_host(host: Host) -> None:
     """SIGTERM at the end of a run."""
-    await host.stop(END_SECONDS)
+    await host.stop(MAX_EXIT_SECONDS)
 
 
 async def wait_until_ready(site: Site) -> None:
     """Wait until each router says that it takes new connections."""
-    until = read_clock() + READY_SECONDS
+    until = read_clock() + READY_TIMEOUT_SECONDS
     for host in site.routers:
         while not await is_ready(host):
             if read_clock() > until:
                 raise TimeoutError(f'{host.name} is not ready')
-            await asyncio.sleep(LAG_PERIOD_S)
+            await asyncio.sleep(LAG_INTERVAL_SECONDS)
 
 
 async def is_ready(host: Host) -> bool:
@@ -136,6 +144,6 @@
 async def measure_lag(journal: Journal) -> None:
     """Note how long this process itself was held up at most."""
     while True:
-        due = read_clock() + LAG_PERIOD_S
-        await asyncio.sleep(LAG_PERIOD_S)
+        due = read_clock() + LAG_INTERVAL_SECONDS
+        await asyncio.sleep(LAG_INTERVAL_SECONDS)
         journal.lag = max(journal.lag, read_clock() - due)
--- a/packages/bench/src/ibisport_bench/soak/site.py
+++ b/packages/bench/src/ibisport_bench/soak/site.py
@@ -29,7 +29,7 @@
 from ibisport_platform.stand_in_records import encode_catalogue
 from ibisport_platform.store_server import StoreServer
 
-GRACE_S = 8.0
+GRACE_SECONDS = 8.0
 RELAYS = 2
 PLAIN_TARGETS = 3
 ENGINES = 4
@@ -37,14 +37,16 @@
 PLAIN_SLOTS, ENGINE_SLOTS = 64, 40
 ENGINE_MEMORY = 100_000
 DOMAINS = ('domain-1', 'domain-2', 'domain-3')
-ROUTE_SECONDS = 20.0
-MOST_TARGETS = 3
+ROUTE_TIME_LIMIT_SECONDS = 20.0
+MAX_TARGETS = 3
 # Ports of one host: callers, readiness, peers, metrics, link, target.
-PORTS = 6
-FIRST_PORTS = (20_000, 30_000)
+PORTS_PER_HOST = 6
+FIRST_PORT_RANGE = (20_000, 30_000)
 # Second octets of the loopback net; each run has its own.
-NETS = 250
-BOUNDS = Bounds(retry_ratio=0.1, retry_slack=20, retry_window=10, stop_grace=GRACE_S)
+MAX_NETWORKS = 250
+BOUNDS = Bounds(
+    retry_ratio=0.1, retry_slack=20, retry_window=10, stop_grace=GRACE_SECONDS
+)
 ROUTE_KINDS = {
     Kind.read: (RouteKind.idempotent, PLAIN),
     Kind.once: (RouteKind.once, PLAIN),
@@ -67,8 +69,8 @@
 
     def __init__(self, routers: int, seed: int, folder: Path, journal: Journal) -> None:
         self._random = random.Random(f'site {seed}')
-        self._net = f'127.{2 + os.getpid() % NETS}'
-        self._port = find_ports(self._random, f'{self._net}.1.1')
+        self._network = f'127.{2 + os.getpid() % MAX_NETWORKS}'
+        self._port = find_free_ports(self._random, f'{self._network}.1.1')
         self._folder = folder
         self._journal = journal
         self._version = 1
@@ -79,11 +81,11 @@
         self.store_links: dict[str, Link] = {}
         self.keys = [(name, f'key-{name}') for name in journal.budgets]
         self.routers = [
-            self._make_host('router', f'{self._net}.1.{one + 1}', one)
+            self._make_host('router', f'{self._network}.1.{one + 1}', one)
             for one in range(routers)
         ]
         self.relays = [
-            self._make_host('relay', f'{self._net}.2.{one + 1}', one)
+            self._make_host('relay', f'{self._network}.2.{one + 1}', one)
             for one in range(RELAYS)
         ]
         self.targets = [
@@ -98,7 +100,9 @@
     async def open(self) -> None:
         """Start everything."""
         loop = asyncio.get_running_loop()
-        await loop.create_server(self._server.connections.accept, *self._store())
+        await loop.create_server(
+            self._server.connections.accept, *self._get_store_address()
+        )
         self.publish()
         for link in self.store_links.values():
             await link.open()
@@ -113,16 +117,18 @@
         content = encode_catalogue(self._make_catalogue(self._version))
         self.service.put(CATALOGUE_KEY, content)
         self._journal.versions[self._version] = read_clock()
-        fault = self._journal.begin(Cause.catalogue, 'all', f'{self._version}')
+        fault = self._journal.record_fault(Cause.catalogue, 'all', f'{self._version}')
         fault.ended = read_clock()
         return self._version
 
-    def _store(self) -> Address:
-        return f'{self._net}.4.1', self._port
+    def _get_store_address(self) -> Address:
+        return f'{self._network}.4.1', self._port
 
     def _make_host(self, role: str, ip: str, number: int) -> Host:
         port = self._port
-        link = Link(f'store of {role}-{number + 1}', (ip, port + 4), self._store())
+        link = Link(
+            f'store of {role}-{number + 1}', (ip, port + 4), self._get_store_address()
+        )
         routes = role == 'router'
         settings = HostSettings(
             host=f'{role}-{number + 1}',
@@ -131,7 +137,7 @@
             metrics_address=(ip, port + 3),
             callers_address=(ip, port) if routes else None,
             readiness_address=(ip, port + 1) if routes else None,
-            store_address=link.front if routes else self._store(),
+            store_address=link.listen_address if routes else self._get_store_address(),
             bounds=BOUNDS,
         )
         if routes:
@@ -139,14 +145,14 @@
         return Host(role, settings, self._folder, self._journal)
 
     def _make_target(self, number: int) -> Target:
-        ip = f'{self._net}.2.{number + 1}'
+        ip = f'{self._network}.2.{number + 1}'
         service = PLAIN if number < PLAIN_TARGETS else ENGINE
         name = f'{service}-{number + 1}'
         link = Link(f'link of {name}', (ip, self._port + 4), (ip, self._port + 5))
         entry = TargetEntry(
             incarnation=name,
             service=service,
-            address=link.front,
+            address=link.listen_address,
             domain=DOMAINS[number % len(DOMAINS)],
             slots=PLAIN_SLOTS if service == PLAIN else ENGINE_SLOTS,
             draining=False,
@@ -189,21 +195,21 @@
         prefix=prefix,
         kind=kind,
         shares=(ServiceShare(service, 1.0),),
-        time_limit=ROUTE_SECONDS,
+        time_limit=ROUTE_TIME_LIMIT_SECONDS,
         objective=1.0,
         rank=1,
-        max_targets=MOST_TARGETS,
+        max_targets=MAX_TARGETS,
         public=False,
         resumable=False,
     )
 
 
-def find_ports(random_source: random.Random, ip: str) -> int:
+def find_free_ports(random_source: random.Random, ip: str) -> int:
     """Return the first of some ports in a row that nobody listens on."""
     while True:
-        first = random_source.randrange(*FIRST_PORTS)
+        first = random_source.randrange(*FIRST_PORT_RANGE)
         try:
-            for port in range(first, first + PORTS):
+            for port in range(first, first + PORTS_PER_HOST):
                 socket.create_server((ip, port)).close()
         except OSError:
             continue
--- a/packages/bench/src/ibisport_bench/soak/targets.py
+++ b/packages/bench/src/ibisport_bench/soak/targets.py
@@ -15,15 +15,15 @@
     make_event,
     read_clock,
 )
-from ibisport_bench.soak.links import Link
-from ibisport_bench.soak.wire import (
+from ibisport_bench.soak.http_messages import (
     HEAD_END,
     Head,
     MessageInvalid,
-    dump_message,
+    encode_message,
     read_head,
     skip_body,
 )
+from ibisport_bench.soak.links import Link
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.headers import (
@@ -37,17 +37,17 @@
 )
 from ibisport_platform.stand_in_records import encode_target
 
-POLL_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 # A fatal request names the seconds after which its target ends.
-FATAL = 'crash'
+FATAL_PARAMETER = 'crash'
 # Three heartbeats of a target, after which the platform drops its entry.
-ENTRY_LAPSES_S = 1.5
-BACK_S = 0.5
+ENTRY_TIMEOUT_SECONDS = 1.5
+CRASH_RESTART_DELAY_SECONDS = 0.5
 # How long a target serves on after the store has accepted that it leaves, and a
 # little longer.
-SERVES_ON_S = (4.5, 8.0)
+SERVE_AFTER_DRAIN_SECONDS = (4.5, 8.0)
 # uvloop raises RuntimeError where something is written to a closed connection.
-ENDED = (
+CONNECTION_ERRORS = (
     ConnectionError,
     asyncio.IncompleteReadError,
     MessageInvalid,
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Ills:
+class TargetFaults:
     """What is wrong with a target now.
 
     Attributes:
@@ -65,8 +65,8 @@
         late: Seconds by which it begins later.
     """
 
-    breaks: float = 0.0
-    late: float = 0.0
+    break_share: float = 0.0
+    delay_seconds: float = 0.0
 
 
 class Target:
@@ -86,16 +86,16 @@
         self.name = entry.incarnation
         self.entry = entry
         self.link = link
-        self.ills = Ills()
-        self.rate: float | None = None
+        self.faults = TargetFaults()
+        self.rate_limit: float | None = None
         self._service = service
         self._journal = journal
         self._random = random.Random(f'{entry.incarnation} {entry.started_at_ms}')
         self._numbers = itertools.count(1)
-        self._running = 0
+        self._in_flight = 0
         self._seq = 0
         self._server: asyncio.Server | None = None
-        self._returning: asyncio.Future[None] | None = None
+        self._restart_task: asyncio.Future[None] | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
@@ -108,16 +108,16 @@
         await self.link.open()
         await self._announce()
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Drain, serve on for a while, and end; what still runs breaks off."""
         self.entry = replace(self.entry, draining=True)
         await self._announce()
         self._journal.drains[self.entry.incarnation] = read_clock()
-        await asyncio.sleep(self._random.uniform(*SERVES_ON_S))
+        await asyncio.sleep(self._random.uniform(*SERVE_AFTER_DRAIN_SECONDS))
         self.end()
-        await self.withdraw()
+        await self.remove_entry()
 
-    async def withdraw(self) -> None:
+    async def remove_entry(self) -> None:
         """Remove the entry."""
         await self._wait_for_store()
         self._service.remove(encode_target(self.entry, self._seq)[0])
@@ -125,7 +125,9 @@
     def end(self) -> None:
         """Close the listener and all connections."""
         incarnation = self.entry.incarnation
-        self._journal.begin(Cause.target, incarnation, 'ended').ended = read_clock()
+        self._journal.record_fault(
+            Cause.target, incarnation, 'ended'
+        ).ended = read_clock()
         self.link.close()
         if self._server is not None:
             self._server.close()
@@ -140,7 +142,7 @@
 
     async def _wait_for_store(self) -> None:
         while self._service.faults.down:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -152,7 +154,7 @@
                 head = await read_head(reader)
                 await skip_body(reader, head)
                 await self._answer(head, reader, writer)
-        except ENDED:
+        except CONNECTION_ERRORS:
             # The router closed or reset the connection.
             return
         finally:
@@ -163,33 +165,33 @@
         self, head: Head, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         request_id = head.headers.get(REQUEST_ID, b'').decode()
-        refusal = self._refuse(head)
+        refusal = self._find_refusal_status(head)
         if refusal:
-            marks = [*self._mark(request_id), (NOT_EXECUTED, b'1')]
-            writer.write(dump_message(f'HTTP/1.1 {refusal} -', marks, b''))
+            marks = [*self._make_headers(request_id), (NOT_EXECUTED, b'1')]
+            writer.write(encode_message(f'HTTP/1.1 {refusal} -', marks, b''))
             return
         run = Run(request_id, self.entry.incarnation, read_clock(), '')
         run.seal = f'{run.target}.{len(self._journal.runs)}'
         run.after = int(head.headers.get(LAST_EVENT_ID, b'0'))
         self._journal.runs.append(run)
-        self._running += 1
+        self._in_flight += 1
         try:
             await self._run(run, head, reader, writer)
         finally:
-            self._running -= 1
+            self._in_flight -= 1
             run.ended = read_clock()
 
-    def _refuse(self, head: Head) -> int:
+    def _find_refusal_status(self, head: Head) -> int:
         expected = head.headers.get(EXPECT_INSTANCE, b'').decode()
         if expected and expected != self.entry.incarnation:
             return 421
-        return 503 if self._running >= self.entry.slots else 0
+        return 503 if self._in_flight >= self.entry.slots else 0
 
-    def _mark(self, request_id: str) -> list[tuple[bytes, bytes]]:
-        load = b'%d,0,%d' % (self._running, self.entry.slots)
+    def _make_headers(self, request_id: str) -> list[tuple[bytes, bytes]]:
+        load = b'%d,0,%d' % (self._in_flight, self.entry.slots)
         marks = [(REQUEST_ID, request_id.encode()), (WORKER_LOAD, load)]
-        if self.rate is not None:
-            marks.append((SERVER_LIMIT, b'%.1f' % self.rate))
+        if self.rate_limit is not None:
+            marks.append((SERVER_LIMIT, b'%.1f' % self.rate_limit))
         return marks
 
     async def _run(
@@ -199,26 +201,26 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        query = head.start.split(b' ')[1].decode().partition('?')[2]
+        query = head.start_line.split(b' ')[1].decode().partition('?')[2]
         asked = dict(parse_qsl(query))
         events = int(asked.get('events', '0'))
         pause = float(asked.get('pause', '0'))
         breaks_at = self._draw_break(events)
-        marks = [*self._mark(run.request_id), (SEAL, run.seal.encode())]
-        await asyncio.sleep(self.ills.late)
-        if FATAL in asked:
-            return await self._crash(run, head, float(asked[FATAL]))
+        marks = [*self._make_headers(run.request_id), (SEAL, run.seal.encode())]
+        await asyncio.sleep(self.faults.delay_seconds)
+        if FATAL_PARAMETER in asked:
+            return await self._crash(run, head, float(asked[FATAL_PARAMETER]))
         if not events:
             await asyncio.sleep(pause)
             if breaks_at == 0:
                 return self._break_off(run, writer)
             body = make_body(run.request_id, 0)
-            self._note_named(run)
-            writer.write(dump_message('HTTP/1.1 200 OK', marks, body))
+            self._record_advertised_limit(run)
+            writer.write(encode_message('HTTP/1.1 200 OK', marks, body))
             run.complete = True
             return None
         marks.append((b'transfer-encoding', b'chunked'))
-        self._note_named(run)
+        self._record_advertised_limit(run)
         lines = b''.join(b'%b: %b\r\n' % pair for pair in marks)
         writer.write(b'HTTP/1.1 200 OK\r\n' + lines + HEAD_END[2:])
         for number in range(run.after + 1, events + 1):
@@ -234,30 +236,32 @@
 
     async def _crash(self, run: Run, head: Head, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        if run.target != self.entry.incarnation or self._returning is not None:
+        if run.target != self.entry.incarnation or self._restart_task is not None:
             return
-        path = head.start.split(b' ')[1].decode()
+        path = head.start_line.split(b' ')[1].decode()
         self._journal.crashes.append(Crash(path, read_clock()))
-        self._returning = asyncio.ensure_future(self._return())
+        self._restart_task = asyncio.ensure_future(self._restart())
         self.end()
 
-    async def _return(self) -> None:
-        await asyncio.sleep(ENTRY_LAPSES_S)
-        await self.withdraw()
-        await asyncio.sleep(BACK_S)
-        self._returning = None
+    async def _restart(self) -> None:
+        await asyncio.sleep(ENTRY_TIMEOUT_SECONDS)
+        await self.remove_entry()
+        await asyncio.sleep(CRASH_RESTART_DELAY_SECONDS)
+        self._restart_task = None
         await self.start()
 
-    def _note_named(self, run: Run) -> None:
-        if self.rate is not None:
+    def _record_advertised_limit(self, run: Run) -> None:
+        if self.rate_limit is not None:
             run.named = read_clock()
 
     def _draw_break(self, events: int) -> int:
-        if self._random.random() >= self.ills.breaks:
+        if self._random.random() >= self.faults.break_share:
             return -1
         return self._random.randint(min(1, events), events)
 
     def _break_off(self, run: Run, writer: asyncio.StreamWriter) -> None:
         run.broken_off = True
-        self._journal.begin(Cause.target, run.target, 'broke off').ended = read_clock()
+        self._journal.record_fault(
+            Cause.target, run.target, 'broke off'
+        ).ended = read_clock()
         writer.transport.abort()
