--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,13 +1,13 @@
-Feature: A short soak of routers and relays as separate processes
+Feature: A short soak test of routers and relays as separate processes
 
-  Scenario: Faults in series and overlapping break no promise
-    When the soak plays seed 2 for 30 seconds with 3 routers
-    Then no check finds anything
+  Scenario: Sequential and overlapping faults violate no check
+    When the soak runs seed 2 for 30 seconds with 3 routers
+    Then no check finds a violation
 
-  Scenario: Routers that leave several at once lose no request
-    When the soak plays only restarts of all routers with seed 3 for 30 seconds
-    Then no check finds anything
+  Scenario: Routers that restart at the same time lose no request
+    When the soak only restarts all routers, with seed 3 for 30 seconds
+    Then no check finds a violation
 
-  Scenario: Each check catches its faulty router
-    When the soak plays seed 8 for 20 seconds against each mutant
-    Then all mutants are caught
+  Scenario: Each check catches its mutant
+    When the soak runs seed 8 for 20 seconds with each mutant
+    Then each mutant is caught by its check
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the soak's command line."""
+"""Steps that run the command line of the soak test."""
 
 import subprocess
 import sys
@@ -8,10 +8,10 @@
 
 from ibisport_bench.soak.mutants import MUTANTS
 
-# A run lasts its seconds, the end of the last faults and answers, and the end of all
-# processes; as much again for a slow machine.
-MOST_SECONDS = 240
-RUNS_AT_ONCE = 3
+# A run takes the given seconds, then the time until the last faults and answers have
+# ended and all processes have exited; doubled for slow machines.
+RUN_TIMEOUT_SECONDS = 240
+MAX_PARALLEL_RUNS = 3
 
 
 def _run_soak(*arguments):
@@ -19,43 +19,40 @@
         [sys.executable, '-m', 'ibisport_bench.soak', *map(str, arguments)],
         capture_output=True,
         text=True,
-        timeout=MOST_SECONDS,
+        timeout=RUN_TIMEOUT_SECONDS,
     )
 
 
-@when('the soak plays seed {seed:d} for {seconds:d} seconds with {routers:d} routers')
-def play_seed(context, seed, seconds, routers):
+@when('the soak runs seed {seed:d} for {seconds:d} seconds with {routers:d} routers')
+def run_seed(context, seed, seconds, routers):
     context.runs = [
         _run_soak('--seed', seed, '--seconds', seconds, '--routers', routers)
     ]
 
 
-@when(
-    'the soak plays only restarts of all routers with seed {seed:d} '
-    'for {seconds:d} seconds'
-)
-def play_restarts(context, seed, seconds):
+@when('the soak only restarts all routers, with seed {seed:d} for {seconds:d} seconds')
+def run_restarts(context, seed, seconds):
     context.runs = [
         _run_soak('--seed', seed, '--seconds', seconds, '--only', 'roll_all')
     ]
 
 
-@when('the soak plays seed {seed:d} for {seconds:d} seconds against each mutant')
-def play_mutants(context, seed, seconds):
-    def play(mutant):
+@when('the soak runs seed {seed:d} for {seconds:d} seconds with each mutant')
+def run_mutants(context, seed, seconds):
+    def run_mutant(mutant):
         return _run_soak('--seed', seed, '--seconds', seconds, '--mutant', mutant)
 
-    with ThreadPoolExecutor(RUNS_AT_ONCE) as pool:
-        context.runs = list(pool.map(play, MUTANTS))
+    with ThreadPoolExecutor(MAX_PARALLEL_RUNS) as pool:
+        context.runs = list(pool.map(run_mutant, MUTANTS))
 
 
-@then('no check finds anything')
-@then('all mutants are caught')
+@then('no check finds a violation')
+@then('each mutant is caught by its check')
 def check_outcome(context):
-    failed = [done for done in context.runs if done.returncode]
-    assert not failed, '\n'.join(_tell(done) for done in failed)
+    failed = [run for run in context.runs if run.returncode]
+    assert not failed, '\n'.join(_describe(run) for run in failed)
 
 
-def _tell(done):
-    command = ' '.join(done.args)
-    return '\n'.join((command, done.stdout[-6000:], done.stderr[-2000:]))
+def _describe(run):
+    command = ' '.join(run.args)
+    return '\n'.join((command, run.stdout[-6000:], run.stderr[-2000:]))
--- a/packages/bench/src/ibisport_bench/soak/__init__.py
+++ b/packages/bench/src/ibisport_bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded faults against routers and relays as separate processes."""
+"""Soak test: seeded faults against routers and relays in separate processes."""
--- a/packages/bench/src/ibisport_bench/soak/analysis.py
+++ b/packages/bench/src/ibisport_bench/soak/analysis.py
@@ -1,4 +1,4 @@
-"""The journal, ordered for the checks, and the story of each request."""
+"""The journal, indexed for the checks, and a description of each request."""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -14,20 +14,21 @@
     Start,
 )
 
-# A disturbance is felt for so long; the platform's pages give the figure.
+# How long a fault may affect requests after its end, by the documentation of the
+# platform.
 RECOVERY_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that didn't hold, and its story."""
+    """A violation that a check has found, and a description for reports."""
 
     check: str
     description: str
 
 
 class Evidence:
-    """The journal, ordered for the checks."""
+    """The journal, indexed for the checks."""
 
     def __init__(self, journal: Journal) -> None:
         self.journal = journal
@@ -42,13 +43,13 @@
 
     @cached_property
     def starts(self) -> dict[tuple[str, int], Start]:
-        """The starts of processes by host and number."""
-        return {(one.host, one.number): one for one in self.journal.starts}
+        """The starts of processes, by host and number."""
+        return {(start.host, start.number): start for start in self.journal.starts}
 
     def find_unplanned(
         self, subjects: Sequence[str], begun: float, ended: float
     ) -> list[Fault]:
-        """Return what went wrong with some subjects in a span."""
+        """Return the unplanned faults that affected some subjects in a span."""
         return [
             fault
             for fault in self.journal.faults
@@ -57,44 +58,57 @@
             and fault.overlaps(begun, ended)
         ]
 
-    def is_undisturbed(self, ask: RequestRecord, begun: float, ended: float) -> bool:
-        """Whether a request's router was undisturbed in a span and before it."""
-        start = self.starts[ask.router, ask.start]
-        subjects = [ask.router, 'store', f'store of {ask.router}']
+    def is_undisturbed(
+        self, request: RequestRecord, begun: float, ended: float
+    ) -> bool:
+        """Whether a request's router was undisturbed in a span.
+
+        The process must have started, and all faults of the router, the store and the
+        link between them must have ended, RECOVERY_SECONDS before the span.
+        """
+        start = self.starts[request.router, request.start]
+        subjects = [request.router, 'store', f'store of {request.router}']
         since = begun - RECOVERY_SECONDS
-        calm = not self.find_unplanned(subjects, since, ended)
-        return calm and start.begun < since and start.told > ended
+        undisturbed = not self.find_unplanned(subjects, since, ended)
+        return undisturbed and start.begun < since and start.told > ended
 
-    def describe(self, ask: RequestRecord) -> str:
-        """Return the story of a request, by the clock of its sending."""
+    def describe(self, request: RequestRecord) -> str:
+        """Describe a request, its runs and faults; times count from its sending."""
         lines = [
-            f'{ask.request_id} {ask.kind.value} at {ask.router} (start {ask.start}): '
-            f'status {ask.status}, whole {ask.whole}, cut {ask.cut}, '
-            f'{len(ask.body)} bytes, ended {ask.ended - ask.sent:+.3f} s'
+            f'{request.request_id} {request.kind.value} at {request.router} '
+            f'(start {request.start}): '
+            f'status {request.status}, whole {request.whole}, cut {request.cut}, '
+            f'{len(request.body)} bytes, ended {request.ended - request.sent:+.3f} s'
         ]
-        start = self.starts[ask.router, ask.start]
-        if start.told <= ask.ended:
+        start = self.starts[request.router, request.start]
+        if start.told <= request.ended:
             lines.append(
-                f'SIGTERM {start.told - ask.sent:+.3f} s; ended '
-                f'{ask.ended - start.told:.3f} s after it'
+                f'SIGTERM {start.told - request.sent:+.3f} s; ended '
+                f'{request.ended - start.told:.3f} s after it'
             )
         lines += [
-            f'run at {run.target} {run.begun - ask.sent:+.3f} to '
-            f'{run.ended - ask.sent:+.3f} s, after event {run.after}, '
+            f'run at {run.target} {run.begun - request.sent:+.3f} to '
+            f'{run.ended - request.sent:+.3f} s, after event {run.after}, '
             f'complete {run.complete}, broke off itself {run.broken_off}'
-            for run in self.runs[ask.request_id]
+            for run in self.runs[request.request_id]
         ]
         lines += [
             f'{fault.cause.value} {fault.subject} {fault.detail} '
-            f'{fault.begun - ask.sent:+.3f} to {fault.ended - ask.sent:+.3f} s'
+            f'{fault.begun - request.sent:+.3f} to {fault.ended - request.sent:+.3f} s'
             for fault in self.journal.faults
             if fault.cause is not Cause.stop
-            and fault.overlaps(_find_relevant_since(ask, start, fault), ask.ended)
+            and fault.overlaps(
+                _find_relevant_since(request, start, fault), request.ended
+            )
         ]
         return '\n      '.join(lines)
 
 
-def _find_relevant_since(ask: RequestRecord, start: Start, fault: Fault) -> float:
-    """Return since when a fault is told: its own router's since SIGTERM."""
-    near = ask.sent - RECOVERY_SECONDS
-    return min(near, start.told) if fault.subject == ask.router else near
+def _find_relevant_since(request: RequestRecord, start: Start, fault: Fault) -> float:
+    """Return from when on a description includes a fault.
+
+    Faults of the request's own router are included from its SIGTERM on, if that is
+    earlier.
+    """
+    earliest = request.sent - RECOVERY_SECONDS
+    return min(earliest, start.told) if fault.subject == request.router else earliest
--- a/packages/bench/src/ibisport_bench/soak/callers.py
+++ b/packages/bench/src/ibisport_bench/soak/callers.py
@@ -1,4 +1,4 @@
-"""Seeded callers that keep connections open until the process behind them is gone."""
+"""Seeded callers that keep connections open until the router's process ends."""
 
 import asyncio
 import itertools
@@ -20,14 +20,15 @@
 from ibisport_platform.stand_in_records import encode_request_headers
 
 SITE_HOST = 'soak.example'
-# Connections that are held open without a request, for each router.
+# Idle connections that are kept open to each router.
 IDLE_CONNECTIONS = 24
 IDLE_CONNECTION_INTERVAL_SECONDS = 0.2
 PROBE_INTERVAL_SECONDS = 0.1
-# Versions that are asked for: the newest ones.
+# Probes ask for one of this many newest versions of the catalogue.
 PROBED_VERSIONS = 4
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Four fifths of the time after which a router closes an idle connection.
+# Four fifths of the idle timeout of a router, so that no request is sent on a
+# connection that the router is about to close.
 MAX_IDLE_SECONDS = 12.0
 REQUEST_TIMEOUT_SECONDS = 25.0
 MIN_STREAM_SECONDS = 0.2
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True)
 class Connection:
-    """One open connection to one start of a router."""
+    """An open connection to a router, bound to one start of its process."""
 
     host: Host
     start: int
@@ -59,7 +60,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether a request may be sent on it."""
+        """Whether a request may be sent on the connection."""
         idle = read_clock() - self.last_used_at
         ended = self.reader.at_eof() or self.writer.is_closing()
         return not ended and idle < MAX_IDLE_SECONDS
@@ -69,7 +70,7 @@
     """All callers of one run.
 
     Attributes:
-        version: The newest version of the catalogue that the store has accepted.
+        version: Always 0 and never read; probes take versions from the journal.
     """
 
     def __init__(
@@ -92,87 +93,98 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def send_requests(self, rate: float, until: float) -> None:
-        """Send requests at a mean rate for each router until a clock time."""
-        works: list[Callable[[], Coroutine[Any, Any, None]]] = [
+        """Send requests at random intervals until a clock time.
+
+        Args:
+            rate: Mean requests per second and router.
+            until: Clock time at which to stop.
+        """
+        jobs: list[Callable[[], Coroutine[Any, Any, None]]] = [
             self._keep_idle_connections,
             self._probe_versions,
         ]
-        sides = [asyncio.ensure_future(work()) for work in works]
+        background_tasks = [asyncio.ensure_future(job()) for job in jobs]
         while read_clock() < until:
             await asyncio.sleep(self._random.expovariate(rate * len(self._hosts)))
             self._spawn(self._random.choice(self._hosts), self._make_request())
-        for side in sides:
-            side.cancel()
+        for task in background_tasks:
+            task.cancel()
 
     async def repeat_fatal_request(self, seconds: float) -> None:
-        """Send one fatal request again and again, at any router."""
+        """Send the same fatal request repeatedly, each time to a random router."""
         path = (
             f'/talk/fatal-{next(self._ids)}?events=9&pause=0.1&{FATAL_PARAMETER}=0.09'
         )
         workspace = self._keys[-1][0]
         until = read_clock() + seconds
         while read_clock() < until:
-            ask = RequestRecord(self._make_id(), Kind.talk, path, workspace, 1, 9)
-            self._spawn(self._random.choice(self._hosts), ask)
+            request = RequestRecord(self._make_id(), Kind.talk, path, workspace, 1, 9)
+            self._spawn(self._random.choice(self._hosts), request)
             await asyncio.sleep(FATAL_REQUEST_INTERVAL_SECONDS)
 
     async def finish(self) -> None:
-        """Wait for the answers that are still due, and close all connections."""
+        """Wait for outstanding answers and close all connections."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=REQUEST_TIMEOUT_SECONDS)
-        for line in itertools.chain.from_iterable(self._connections.values()):
-            line.writer.close()
+        for connection in itertools.chain.from_iterable(self._connections.values()):
+            connection.writer.close()
 
     def _make_request(self) -> RequestRecord:
         kind = self._random.choices(KINDS, KIND_WEIGHTS)[0]
         workspace = self._random.choice(self._keys)[0]
-        ask = RequestRecord(self._make_id(), kind, '', workspace)
-        pause = round(self._random.uniform(*EVENT_INTERVAL_SECONDS), 3)
+        request = RequestRecord(self._make_id(), kind, '', workspace)
+        interval = round(self._random.uniform(*EVENT_INTERVAL_SECONDS), 3)
         if kind.streams:
-            lasts = self._random.uniform(MIN_STREAM_SECONDS, MAX_STREAM_SECONDS)
-            ask.events = max(1, int(lasts / pause))
-            ask.prompt = self._random.randint(1, MAX_PROMPT_TOKENS)
-        ask.path = f'/{kind.value}/{ask.request_id}?events={ask.events}&pause={pause}'
-        return ask
+            duration = self._random.uniform(MIN_STREAM_SECONDS, MAX_STREAM_SECONDS)
+            request.events = max(1, int(duration / interval))
+            request.prompt = self._random.randint(1, MAX_PROMPT_TOKENS)
+        request.path = (
+            f'/{kind.value}/{request.request_id}'
+            f'?events={request.events}&pause={interval}'
+        )
+        return request
 
     def _make_id(self) -> str:
         return f'{self._seed:04x}{next(self._ids):08x}'
 
-    def _spawn(self, host: Host, ask: RequestRecord) -> None:
-        task = asyncio.ensure_future(self._send(host, ask))
+    def _spawn(self, host: Host, request: RequestRecord) -> None:
+        task = asyncio.ensure_future(self._send(host, request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _keep_idle_connections(self) -> None:
-        """Keep idle connections to each router as long as its listener stands."""
+        """Keep idle connections to each router as long as it accepts new ones."""
         while True:
             await asyncio.sleep(IDLE_CONNECTION_INTERVAL_SECONDS)
             for host in self._hosts:
-                lines = self._connections[host.name]
-                for line in tuple(lines):
-                    if not line.usable:
-                        lines.remove(line)
-                        line.writer.close()
-                if len(lines) < IDLE_CONNECTIONS:
+                connections = self._connections[host.name]
+                for connection in tuple(connections):
+                    if not connection.usable:
+                        connections.remove(connection)
+                        connection.writer.close()
+                if len(connections) < IDLE_CONNECTIONS:
                     await self._fill_idle_connections(host)
 
     async def _fill_idle_connections(self, host: Host) -> None:
         for _ in range(IDLE_CONNECTIONS - len(self._connections[host.name])):
-            line = await self._connect(host)
-            if line is None:
+            connection = await self._connect(host)
+            if connection is None:
                 return
-            self._connections[host.name].append(line)
+            self._connections[host.name].append(connection)
 
     async def _probe_versions(self) -> None:
-        """Ask every router for what only some version of the catalogue allows."""
+        """Probe which version of the catalogue each router applies.
+
+        Each version has a route of its own, which no other version serves.
+        """
         while True:
             await asyncio.sleep(PROBE_INTERVAL_SECONDS)
             versions = list(self._journal.versions)
             for host in self._hosts:
                 version = self._random.choice(versions[-PROBED_VERSIONS:])
-                ask = RequestRecord(self._make_id(), Kind.mark, '', version=version)
-                ask.path = f'/mark/{version}/{ask.request_id}?pause=0'
-                self._spawn(host, ask)
+                request = RequestRecord(self._make_id(), Kind.mark, '', version=version)
+                request.path = f'/mark/{version}/{request.request_id}?pause=0'
+                self._spawn(host, request)
 
     async def _connect(self, host: Host) -> Connection | None:
         address = host.settings.callers_address
@@ -186,56 +198,56 @@
             return None
         return Connection(host, start, reader, writer, read_clock())
 
-    async def _send(self, host: Host, ask: RequestRecord) -> None:
-        line = await self._acquire_connection(host)
-        if line is None:
+    async def _send(self, host: Host, request: RequestRecord) -> None:
+        connection = await self._acquire_connection(host)
+        if connection is None:
             return
-        ask.router, ask.start = host.name, line.start
-        key = dict(self._keys).get(ask.workspace)
-        tokens = (ask.prompt, ask.events) if ask.events else None
+        request.router, request.start = host.name, connection.start
+        key = dict(self._keys).get(request.workspace)
+        tokens = (request.prompt, request.events) if request.events else None
         headers = encode_request_headers(
-            ask.request_id, key, tokens, REQUEST_TIMEOUT_SECONDS
+            request.request_id, key, tokens, REQUEST_TIMEOUT_SECONDS
         )
         headers.append((HOST, SITE_HOST.encode()))
-        method = 'GET' if ask.kind is Kind.mark else 'POST'
-        line.writer.write(
-            encode_message(f'{method} {ask.path} HTTP/1.1', headers, b'x')
+        method = 'GET' if request.kind is Kind.mark else 'POST'
+        connection.writer.write(
+            encode_message(f'{method} {request.path} HTTP/1.1', headers, b'x')
         )
-        ask.sent = line.last_used_at = read_clock()
-        self._journal.asks.append(ask)
-        keeps = await self._receive(line, ask)
-        if keeps:
-            line.last_used_at = read_clock()
-            self._connections[host.name].append(line)
+        request.sent = connection.last_used_at = read_clock()
+        self._journal.asks.append(request)
+        reusable = await self._receive(connection, request)
+        if reusable:
+            connection.last_used_at = read_clock()
+            self._connections[host.name].append(connection)
         else:
-            line.writer.transport.abort()
+            connection.writer.transport.abort()
 
     async def _acquire_connection(self, host: Host) -> Connection | None:
-        lines = self._connections[host.name]
-        while lines:
-            line = lines.pop(self._random.randrange(len(lines)))
-            if line.usable:
-                return line
-            line.writer.close()
+        connections = self._connections[host.name]
+        while connections:
+            connection = connections.pop(self._random.randrange(len(connections)))
+            if connection.usable:
+                return connection
+            connection.writer.close()
         return await self._connect(host)
 
-    async def _receive(self, line: Connection, ask: RequestRecord) -> bool:
+    async def _receive(self, connection: Connection, request: RequestRecord) -> bool:
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
-                return await self._read(line, ask)
+                return await self._read(connection, request)
         except TimeoutError:
             return False
         except CONNECTION_ERRORS:
-            ask.cut = True
+            request.cut = True
             return False
         finally:
-            ask.ended = read_clock()
-
-    async def _read(self, line: Connection, ask: RequestRecord) -> bool:
-        head = await read_head(line.reader)
-        ask.status = head.status
-        ask.seal = head.headers.get(SEAL, b'').decode()
-        async for piece in read_body(line.reader, head):
-            ask.body += piece
-        ask.whole = True
+            request.ended = read_clock()
+
+    async def _read(self, connection: Connection, request: RequestRecord) -> bool:
+        head = await read_head(connection.reader)
+        request.status = head.status
+        request.seal = head.headers.get(SEAL, b'').decode()
+        async for chunk in read_body(connection.reader, head):
+            request.body += chunk
+        request.whole = True
         return head.keeps_open
--- a/packages/bench/src/ibisport_bench/soak/catalogue_checks.py
+++ b/packages/bench/src/ibisport_bench/soak/catalogue_checks.py
@@ -1,4 +1,4 @@
-"""Judges which version of the catalogue each router went by."""
+"""Checks of the version of the catalogue that each router applies."""
 
 import math
 from collections import defaultdict
@@ -7,56 +7,65 @@
 from ibisport_bench.soak.analysis import Evidence, Violation
 from ibisport_bench.soak.evidence import Kind, RequestRecord
 
-# The platform's bound for a new version, and as much again for a slow machine.
+# The platform's bound for applying a new version, doubled for slow machines.
 MAX_APPLY_SECONDS = 2.0 * 2
-# A request that was sent so long after an effect was seen must see it too.
+# A probe sent this long after a probe of a newer version succeeded must see that
+# version, or a newer one, too.
 ROLLBACK_SLACK_SECONDS = 0.25
 STATUS_OK = 200
 
 
 def check_late(evidence: Evidence) -> Iterator[Violation]:
-    """A router in touch goes by the newest version within its bound."""
-    for ask in list_version_probes(evidence):
-        since = find_wrong_since(evidence.journal.versions, ask)
-        if ask.sent > since + MAX_APPLY_SECONDS and evidence.is_undisturbed(
-            ask, since, ask.ended
+    """An undisturbed router applies the newest version in time."""
+    for request in list_version_probes(evidence):
+        since = find_wrong_since(evidence.journal.versions, request)
+        if request.sent > since + MAX_APPLY_SECONDS and evidence.is_undisturbed(
+            request, since, request.ended
         ):
-            story = f'version {ask.version}, {ask.sent - since:.3f} s late'
-            yield Violation('LATE', f'{story}: {evidence.describe(ask)}')
+            description = (
+                f'version {request.version}, {request.sent - since:.3f} s late'
+            )
+            yield Violation('LATE', f'{description}: {evidence.describe(request)}')
 
 
-def find_wrong_since(written: dict[int, float], mark: RequestRecord) -> float:
-    """Return since when a mark should have been answered otherwise."""
-    later = (at for number, at in written.items() if number > mark.version)
-    replaced = min(later, default=math.inf)
-    match mark.status:
+def find_wrong_since(written: dict[int, float], probe: RequestRecord) -> float:
+    """Return since when the answer to a probe has been wrong; infinity if it is right.
+
+    A success is wrong once a newer version is written, and status 404 once the probed
+    version is written, unless a newer one has replaced it by then.
+    """
+    later_times = (
+        written_at for version, written_at in written.items() if version > probe.version
+    )
+    replaced_at = min(later_times, default=math.inf)
+    match probe.status:
         case 200:
-            return replaced
-        case 404 if mark.ended < replaced:
-            return written[mark.version]
+            return replaced_at
+        case 404 if probe.ended < replaced_at:
+            return written[probe.version]
         case _:
             return math.inf
 
 
 def check_back(evidence: Evidence) -> Iterator[Violation]:
-    """No start of a router goes back to an older version."""
+    """A router doesn't go back to an older version before it is restarted."""
     seen: dict[tuple[str, int], list[RequestRecord]] = defaultdict(list)
-    for ask in sorted(list_version_probes(evidence), key=lambda one: one.sent):
-        if ask.status == STATUS_OK:
-            seen[ask.router, ask.start].append(ask)
-    for marks in seen.values():
-        for place, mark in enumerate(marks):
+    for request in sorted(list_version_probes(evidence), key=lambda probe: probe.sent):
+        if request.status == STATUS_OK:
+            seen[request.router, request.start].append(request)
+    for probes in seen.values():
+        for index, probe in enumerate(probes):
             newer = [
-                one
-                for one in marks[:place]
-                if one.version > mark.version
-                and one.ended + ROLLBACK_SLACK_SECONDS < mark.sent
+                earlier
+                for earlier in probes[:index]
+                if earlier.version > probe.version
+                and earlier.ended + ROLLBACK_SLACK_SECONDS < probe.sent
             ]
             if newer:
-                story = f'version {mark.version} after {newer[0].version}'
-                yield Violation('BACK', f'{story}: {evidence.describe(mark)}')
+                description = f'version {probe.version} after {newer[0].version}'
+                yield Violation('BACK', f'{description}: {evidence.describe(probe)}')
 
 
 def list_version_probes(evidence: Evidence) -> list[RequestRecord]:
     """Return the requests that only one version of the catalogue allows."""
-    return [ask for ask in evidence.journal.asks if ask.kind is Kind.mark]
+    return [request for request in evidence.journal.asks if request.kind is Kind.mark]
--- a/packages/bench/src/ibisport_bench/soak/evidence.py
+++ b/packages/bench/src/ibisport_bench/soak/evidence.py
@@ -1,4 +1,4 @@
-"""What callers, targets and the store saw, all by one clock of this process."""
+"""Observations of callers, targets and the store, timed by the clock of one process."""
 
 import hashlib
 import math
@@ -9,12 +9,12 @@
 from enum import Enum
 
 STREAM_TOKENS_PER_EVENT = 1
-# Statuses that promise: not run, and never will be.
+# Statuses by which an answer says that its request was not and will not be executed.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class Kind(Enum):
-    """What a request asks for."""
+    """The kind of a request; its value is the first segment of the path."""
 
     read = 'read'
     once = 'once'
@@ -24,7 +24,7 @@
 
     @property
     def streams(self) -> bool:
-        """Whether events come."""
+        """Whether the answer is a stream of events."""
         return self in {Kind.talk, Kind.resume}
 
     @property
@@ -34,7 +34,7 @@
 
 
 class Cause(Enum):
-    """What was done to the site."""
+    """The kind of a fault or of planned work on the site."""
 
     stop = 'SIGTERM'
     reload = 'SIGHUP'
@@ -48,19 +48,19 @@
 
     @property
     def planned(self) -> bool:
-        """Whether it is work that callers shouldn't notice."""
+        """Whether it is planned work, which must not affect callers."""
         return self in {Cause.stop, Cause.reload, Cause.catalogue, Cause.drain}
 
 
 @dataclass(slots=True)
 class Fault:
-    """One thing that was done.
+    """A fault, or planned work, and when it was in effect.
 
     Attributes:
-        cause: What.
-        subject: To whom.
-        begun: Clock at its begin, seconds.
-        detail: More of it, for the story.
+        cause: Its kind.
+        subject: The host, link, target or store that it affects.
+        begun: Clock at its start, seconds.
+        detail: Its parameters, for reports.
         ended: Clock at its end.
     """
 
@@ -71,31 +71,31 @@
     ended: float = math.inf
 
     def overlaps(self, begun: float, ended: float) -> bool:
-        """Whether it was on at some moment of a span."""
+        """Whether it was in effect at any time in a span."""
         return self.begun <= ended and self.ended >= begun
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request of a caller and what came back.
+    """A request of a caller and its answer.
 
     Attributes:
         request_id: Its id.
-        kind: What it asks for.
+        kind: Its kind.
         path: Path and query.
-        workspace: Who pays, or empty.
+        workspace: The workspace that is charged, or empty.
         prompt: Tokens of its prompt.
-        events: Events of a whole answer; 0 for a plain one.
+        events: Events of a whole answer; 0 if the answer isn't a stream.
         router: The router that it was sent to.
-        start: Which start of that router's process.
-        version: The version of the catalogue that a mark asks for.
+        start: Number of the start of that router's process.
+        version: The version of the catalogue that a probe asks for.
         sent: Clock when its last byte was sent.
         ended: Clock when its answer or its connection ended.
-        status: Status of the answer; 0: none came.
+        status: Status of the answer; 0 if there is none.
         seal: The target's seal, or empty.
-        body: The bytes of the answer.
-        whole: The answer's framing is complete.
-        cut: The connection ended before the answer did.
+        body: Body of the answer.
+        whole: Whether the answer's framing is complete.
+        cut: Whether the connection ended before the answer did.
     """
 
     request_id: str
@@ -118,18 +118,19 @@
 
 @dataclass(slots=True)
 class Run:
-    """One request that a target began to work on.
+    """The execution of a request at a target.
 
     Attributes:
         request_id: The request.
         target: The target's incarnation.
-        begun: Clock when it came.
-        after: The event after which a stream goes on.
-        seal: What the answer was sealed with.
+        begun: Clock when the target had received the request.
+        after: The event after which a stream is resumed.
+        seal: The seal of the answer.
         ended: Clock at its end.
-        complete: The whole answer was handed over.
-        broken_off: The target itself broke off.
-        named: Clock when the head of an answer named a rate limit.
+        complete: Whether the whole answer was written.
+        broken_off: Whether the target itself aborted the answer.
+        named: Clock when the head of the answer advertised a rate limit; infinity if
+            it didn't.
     """
 
     request_id: str
@@ -145,13 +146,13 @@
 
 @dataclass(slots=True)
 class AdvertisedLimit:
-    """A span in which a target named a rate limit.
+    """A span in which a target advertises a rate limit.
 
     Attributes:
         target: Its incarnation.
-        rate: Requests a second from all routers together.
-        begun: Clock at which it first might name it.
-        ended: Clock from which it named none.
+        rate: Requests per second from all routers together.
+        begun: Clock from which its answers may advertise the limit.
+        ended: Clock from which its answers advertise none.
     """
 
     target: str
@@ -162,11 +163,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A target ended since it ran a fatal request.
+    """The crash of a target that ran a fatal request.
 
     Attributes:
-        path: The request's.
-        at: Clock at the end.
+        path: Path and query of the request.
+        at: Clock at the crash.
     """
 
     path: str
@@ -179,11 +180,11 @@
 
     Attributes:
         host: Its host.
-        number: Counts the starts of that host.
+        number: Its number among the starts of that host, from 1.
         begun: Clock at the start.
-        told: Clock when it got SIGTERM.
+        told: Clock when it was sent SIGTERM.
         ended: Clock at its end.
-        killed: It was ended by SIGKILL.
+        killed: Whether it was sent SIGKILL.
         code: Its exit code.
     """
 
@@ -198,19 +199,19 @@
 
 @dataclass(slots=True)
 class Journal:
-    """All that was seen in one run.
+    """All observations of one run.
 
     Attributes:
         asks: Requests of callers.
-        runs: Runs at targets.
-        faults: What was done.
+        runs: Executions of requests at targets.
+        faults: Faults and planned work.
         starts: Starts of processes.
-        versions: When the store had accepted each version of the catalogue.
-        drains: When the store had accepted that a target leaves.
-        limits: Rate limits that targets named.
-        crashes: Ends of targets under fatal requests.
+        versions: Clock when the store had accepted each version of the catalogue.
+        drains: Clock when the store had accepted that a target drains.
+        limits: Rate limits that targets advertised.
+        crashes: Crashes of targets by fatal requests.
         budgets: Tokens that each workspace has paid for.
-        lag: Longest time that this process itself was held up, seconds.
+        lag: Longest delay of this process's own event loop, seconds.
     """
 
     asks: list[RequestRecord] = field(default_factory=list)
@@ -225,7 +226,7 @@
     lag: float = 0.0
 
     def record_fault(self, cause: Cause, subject: str, detail: str = '') -> Fault:
-        """Note that something is done now."""
+        """Record a fault that starts now."""
         fault = Fault(cause, subject, read_clock(), detail)
         self.faults.append(fault)
         return fault
@@ -234,7 +235,7 @@
     def track_fault(
         self, cause: Cause, subject: str, detail: str = ''
     ) -> Iterator[None]:
-        """Note that something is done as long as the block runs."""
+        """Record a fault that lasts as long as the block runs."""
         fault = self.record_fault(cause, subject, detail)
         try:
             yield
@@ -243,18 +244,18 @@
 
 
 def read_clock() -> float:
-    """Return the clock by which all evidence is timed."""
+    """Return the clock time, in seconds, that all observations share."""
     return time.monotonic()
 
 
 def make_event(request_id: str, number: int) -> bytes:
     """Return one event of a stream."""
-    mark = hashlib.sha256(f'{request_id} {number}'.encode()).hexdigest()[:16]
-    return f'id: {number}\ndata: {request_id} {mark}\n\n'.encode()
+    digest = hashlib.sha256(f'{request_id} {number}'.encode()).hexdigest()[:16]
+    return f'id: {number}\ndata: {request_id} {digest}\n\n'.encode()
 
 
 def make_body(request_id: str, events: int) -> bytes:
-    """Return the whole answer to a request."""
+    """Return the body of the whole answer to a request."""
     if not events:
         return f'{request_id} '.encode() + make_event(request_id, 0)
-    return b''.join(make_event(request_id, one + 1) for one in range(events))
+    return b''.join(make_event(request_id, number + 1) for number in range(events))
--- a/packages/bench/src/ibisport_bench/soak/fault_injection.py
+++ b/packages/bench/src/ibisport_bench/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Which faults come when, drawn by seed, and how each is played."""
+"""The schedule of faults, drawn from a seed, and how each fault is injected."""
 
 import asyncio
 import random
@@ -18,10 +18,10 @@
 VERSION_INTERVAL_SECONDS = (0.05, 0.4)
 MAX_VERSIONS = 5
 FIRST_FAULT_DELAY_SECONDS = 2.0
-# Mean pauses between two faults, one drawn for each run: from faults in series to
-# several at once.
+# Mean intervals between the starts of two faults. Each run draws one of them: the
+# longest gives faults in series, the shortest several at once.
 MEAN_INTERVALS_SECONDS = (0.4, 1.0, 2.5)
-# The same where only one kind is played.
+# The mean interval if only one kind of fault is injected.
 SINGLE_KIND_INTERVAL_SECONDS = 1.0
 FAULT_SECONDS = (0.3, 4.0)
 MAX_LINK_DELAY_SECONDS = 0.4
@@ -32,7 +32,7 @@
 ALL_LINKS_SHARE = 0.3
 MAX_START_DELAY_SECONDS = 1.5
 STORE = 'store'
-# How often each fault is played, against the sum of all.
+# Relative frequencies of the faults. FaultInjector has a method for each name.
 FAULT_WEIGHTS: Mapping[str, float] = {
     'roll_all': 2,
     'roll_one': 3,
@@ -47,7 +47,8 @@
     'crash_target': 1,
     'harm_target': 2,
 }
-# Played alone only: checks of the others' targets would have to be excused.
+# Faults that are only injected alone: beside them, the checks for other faults would
+# need exceptions for the affected targets.
 EXCLUSIVE_FAULTS = ('fatal', 'limit')
 FATAL_SECONDS = 15.0
 LIMIT_SECONDS = 12.0
@@ -55,7 +56,7 @@
 
 
 class FaultInjector:
-    """The faults of one run."""
+    """Draws and injects the faults of one run."""
 
     def __init__(
         self,
@@ -65,24 +66,27 @@
         seed: int,
         only: str | None,
     ) -> None:
-        """Draw the pace.
+        """Draw the mean interval between faults.
 
         Args:
-            site: What is harmed.
-            callers: Send requests that do harm.
-            journal: Where it is noted.
-            seed: Of all that is drawn.
-            only: The one kind of fault that is played; None: all.
+            site: The site that the faults affect.
+            callers: Send the fatal requests.
+            journal: Records the faults.
+            seed: Seed of all random choices.
+            only: The only kind of fault to inject; None for all kinds that may be
+                injected together.
         """
         self._site = site
         self._callers = callers
         self._journal = journal
-        # What comes when doesn't hang on what the faults themselves draw.
+        # The schedule has a generator of its own, so that it doesn't depend on what
+        # the faults draw while they run.
         self._schedule_random = random.Random(f'order {seed}')
         self._random = random.Random(f'plan {seed}')
         self._tasks: set[asyncio.Task[None]] = set()
         self._leaving_services: set[str] = set()
-        # Checks with time bounds need routers that are otherwise calm.
+        # A single kind leaves routers otherwise undisturbed, which checks with time
+        # bounds need.
         self._weights = FAULT_WEIGHTS if only is None else {only: 1}
         self._mean_interval = (
             SINGLE_KIND_INTERVAL_SECONDS
@@ -90,38 +94,38 @@
             else self._schedule_random.choice(MEAN_INTERVALS_SECONDS)
         )
 
-    async def play(self, until: float) -> None:
-        """Play faults until a clock time, and wait for the end of the last one."""
-        names, weights = list(self._weights), list(self._weights.values())
+    async def inject_faults(self, until: float) -> None:
+        """Inject faults until a clock time, then wait until all of them have ended."""
+        kinds, weights = list(self._weights), list(self._weights.values())
         await asyncio.sleep(FIRST_FAULT_DELAY_SECONDS)
         while read_clock() < until:
-            name = self._schedule_random.choices(names, weights)[0]
-            self._spawn(getattr(self, f'_{name}')())
+            kind = self._schedule_random.choices(kinds, weights)[0]
+            self._spawn(getattr(self, f'_{kind}')())
             await asyncio.sleep(
                 self._schedule_random.expovariate(1 / self._mean_interval)
             )
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _spawn(self, work: Awaitable[None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, fault: Awaitable[None]) -> None:
+        task = asyncio.ensure_future(fault)
         self._tasks.add(task)
         task.add_done_callback(self._finish)
 
     def _finish(self, task: asyncio.Future[None]) -> None:
         self._tasks.discard(task)
-        # A fault of the soak's own must not pass for a calm run.
+        # Raises errors of the soak itself, which must not pass as a run without faults.
         task.result()
 
     def _draw_uniform(self, span: tuple[float, float]) -> float:
         return self._random.uniform(*span)
 
     async def _roll_all(self) -> None:
-        """Restart all routers in turn, several at once where the gap is short."""
-        gap = self._draw_uniform(ROLL_INTERVAL_SECONDS)
+        """Restart all routers in random order, overlapping if the interval is short."""
+        interval = self._draw_uniform(ROLL_INTERVAL_SECONDS)
         for host in self._random.sample(self._site.routers, len(self._site.routers)):
             self._spawn(self._roll(host))
-            await asyncio.sleep(gap)
+            await asyncio.sleep(interval)
 
     async def _roll_one(self) -> None:
         await self._roll(self._random.choice(self._site.hosts))
@@ -133,12 +137,12 @@
         host = self._random.choice(self._site.hosts)
         await self._restart_after(host, self._kill(host))
 
-    async def _restart_after(self, host: Host, work: Coroutine[Any, Any, None]) -> None:
+    async def _restart_after(self, host: Host, stop: Coroutine[Any, Any, None]) -> None:
         if host.restarting:
-            work.close()
+            stop.close()
             return
         host.restarting = True
-        await work
+        await stop
         await asyncio.sleep(self._draw_uniform(RESTART_DELAY_SECONDS))
         await host.launch()
         host.restarting = False
@@ -169,8 +173,10 @@
         links = list(self._site.store_links.values())
         if self._random.random() > ALL_LINKS_SHARE:
             links = [self._random.choice(links)]
-        harm = draw_link_fault(self._random)
-        await asyncio.gather(*(self._inject_link_fault(link, *harm) for link in links))
+        link_fault = draw_link_fault(self._random)
+        await asyncio.gather(
+            *(self._inject_link_fault(link, *link_fault) for link in links)
+        )
 
     async def _harm_target_link(self) -> None:
         target = self._random.choice(self._site.targets)
@@ -186,8 +192,8 @@
                     return
                 case 'silence':
                     link.silence(DIRECTIONS)
-                case way:
-                    link.silence([way])
+                case direction:
+                    link.silence([direction])
             await asyncio.sleep(seconds)
             link.heal()
 
@@ -229,11 +235,11 @@
             await self._restart_target(target)
 
     async def _fatal(self) -> None:
-        """Let one caller repeat a request that ends each target that runs it."""
+        """Let a caller repeat a request that crashes each target that runs it."""
         await self._callers.repeat_fatal_request(FATAL_SECONDS)
 
     async def _limit(self) -> None:
-        """Let a target name a rate limit for a while."""
+        """Let a target advertise a rate limit for a while."""
         target = self._random.choice(self._site.targets)
         if target.rate_limit is not None:
             return
@@ -247,7 +253,7 @@
         limit.ended = read_clock()
 
     def _claim_service(self, target: Target) -> bool:
-        """Whether a target may leave: at most one of each service at once."""
+        """Claim the removal of a target; False if its service already lacks one."""
         if target.entry.service in self._leaving_services:
             return False
         self._leaving_services.add(target.entry.service)
@@ -260,19 +266,19 @@
 
     async def _harm_target(self) -> None:
         target = self._random.choice(self._site.targets)
-        late = self._draw_uniform((0, MAX_START_DELAY_SECONDS))
-        ills = (
+        delay = self._draw_uniform((0, MAX_START_DELAY_SECONDS))
+        faults = (
             TargetFaults(break_share=BROKEN_SHARE)
-            if late < 1
-            else TargetFaults(delay_seconds=late)
+            if delay < 1
+            else TargetFaults(delay_seconds=delay)
         )
-        with self._journal.track_fault(Cause.target, target.name, f'{ills}'):
-            target.faults = ills
+        with self._journal.track_fault(Cause.target, target.name, f'{faults}'):
+            target.faults = faults
             await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
             target.faults = TargetFaults()
 
 
-def draw_link_fault(source: random.Random) -> tuple[str, float]:
-    """Return what happens to a link, and for how many seconds."""
+def draw_link_fault(random_source: random.Random) -> tuple[str, float]:
+    """Return a random fault of a link and its duration in seconds."""
     kinds = ('delay', 'reset', 'silence', TO_SINK, TO_SOURCE)
-    return source.choice(kinds), source.uniform(*FAULT_SECONDS)
+    return random_source.choice(kinds), random_source.uniform(*FAULT_SECONDS)
--- a/packages/bench/src/ibisport_bench/soak/links.py
+++ b/packages/bench/src/ibisport_bench/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way and falls silent."""
+"""A loopback proxy that delays, resets or silences connections, also one way."""
 
 import asyncio
 from collections.abc import Iterable
@@ -11,47 +11,47 @@
 
 
 class Link:
-    """Passes connections to one address on to another.
+    """Forwards connections from one address to another.
 
     Attributes:
-        name: What the journal calls it.
-        front: Where it listens.
+        name: Its name in the journal.
+        listen_address: Where it listens.
         sink: Where it connects to.
-        delay: Seconds by which each piece comes late.
+        delay: Seconds by which each chunk is delayed.
     """
 
-    def __init__(self, name: str, front: Address, sink: Address) -> None:
+    def __init__(self, name: str, listen_address: Address, sink: Address) -> None:
         self.name = name
-        self.listen_address = front
+        self.listen_address = listen_address
         self.sink = sink
         self.delay = 0.0
-        self._flowing = {way: asyncio.Event() for way in DIRECTIONS}
+        self._flowing = {direction: asyncio.Event() for direction in DIRECTIONS}
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.heal()
 
     async def open(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._serve, *self.listen_address)
 
     def close(self) -> None:
-        """Take no connection any more; those that stand end with their sinks."""
+        """Stop listening; open connections last until their sinks close them."""
         if self._server is not None:
             self._server.close()
 
-    def silence(self, ways: Iterable[str]) -> None:
-        """Hold back all that goes some ways, also an end."""
-        for way in ways:
-            self._flowing[way].clear()
+    def silence(self, directions: Iterable[str]) -> None:
+        """Hold back all data in some directions, and the end of connections."""
+        for direction in directions:
+            self._flowing[direction].clear()
 
     def heal(self) -> None:
-        """Pass on again, also what was held back."""
+        """Forward again without delay, starting with what was held back."""
         self.delay = 0.0
-        for flowing in self._flowing.values():
-            flowing.set()
+        for gate in self._flowing.values():
+            gate.set()
 
     def reset(self) -> None:
-        """Reset all connections; new ones work."""
+        """Reset all open connections; new ones work."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
@@ -76,22 +76,22 @@
             for task in tasks:
                 task.cancel()
             self._writers -= pair
-            for one in pair:
-                one.close()
+            for end in pair:
+                end.close()
 
     async def _pump(
-        self, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, direction: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        piece = b'-'
-        while piece:
+        chunk = b'-'
+        while chunk:
             try:
-                piece = await reader.read(CHUNK_BYTES)
+                chunk = await reader.read(CHUNK_BYTES)
             except ConnectionError:
-                piece = b''
+                chunk = b''
             if self.delay:
                 await asyncio.sleep(self.delay)
-            await self._flowing[way].wait()
-            if piece and not writer.is_closing():
-                writer.write(piece)
+            await self._flowing[direction].wait()
+            if chunk and not writer.is_closing():
+                writer.write(chunk)
         if isinstance(reader.exception(), ConnectionError):
             writer.transport.abort()
--- a/packages/bench/src/ibisport_bench/soak/mutants.py
+++ b/packages/bench/src/ibisport_bench/soak/mutants.py
@@ -1,4 +1,4 @@
-"""Routers with one fault each, made in memory, that the checks must catch.
+"""Routers with one fault each, patched in memory, that the checks must catch.
 
 ``python -m ibisport_bench.soak.mutants NAME router`` runs such a router.
 """
@@ -24,11 +24,13 @@
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.records import decode_target
 
-# What is run without a patch, and the module that it loads and that is patched.
+# The entry point of the unpatched program, and the module that it loads and that
+# some mutants patch.
 entry_point = importlib.import_module('ibisport_platform.__main__')
 program = importlib.import_module('ibisport_platform.programs')
 MUTANT_MODULE = 'ibisport_bench.soak.mutants'
-# When a router goes back to the version before, and when it takes the new one again.
+# Delays after a new version until go-back restores the previous one and until it
+# applies the new one again.
 ROLLBACK_DELAY_SECONDS = 0.6
 ROLL_FORWARD_DELAY_SECONDS = 2.0
 UNAVAILABLE = 503
@@ -36,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One fault of a router.
+    """A fault of a router.
 
     Attributes:
         check: The check that must catch it.
-        play: The name of the faults of the site that bring it out.
-        patch: Changes the program in memory.
+        fault_kind: The kind of fault of the site that exposes it.
+        patch: Patches the program in memory.
     """
 
     check: str
@@ -50,32 +52,33 @@
 
 
 def patch(owner: object, name: str, value: object) -> None:
-    """Put another value in the place of one.
+    """Replace an attribute.
 
     Raises:
-        AttributeError: There is none: the mutant would be the program itself.
+        AttributeError: The attribute doesn't exist: without this error, the mutant
+            would run as the unpatched program.
     """
     getattr(owner, name)
     setattr(owner, name, value)
 
 
 def cut_at_stop() -> None:
-    """End at once, under the requests that still run."""
+    """Exit at once, while requests are still in progress."""
 
     async def leave(self: Router, moment: object) -> None:
-        """Wait for nothing."""
+        """Return at once instead of waiting."""
 
     for step in ('_stay_open', '_await_callers', '_end'):
         patch(Router, step, leave)
 
 
 def repeat_all() -> None:
-    """Send every request again that broke off."""
+    """Retry every request whose answer breaks off, also on routes that run once."""
     patch(Route, 'repeatable', property(lambda route: True))
 
 
 def promise_after_run() -> None:
-    """Answer that a request has not run when its target broke off."""
+    """Answer that a request was not executed when its target broke off."""
 
     def note_break(self: RequestForwarder, candidate: Candidate, reason: str) -> None:
         raise RequestFailed(UNAVAILABLE, reason)
@@ -84,12 +87,12 @@
 
 
 def end_broken() -> None:
-    """End a stream that broke off as if it were whole."""
+    """End a stream that broke off as if it were complete."""
     patch(ResponseWriter, 'break_off', ResponseWriter.end_stream)
 
 
 def lend_without_end() -> None:
-    """Ask no budget."""
+    """Grant every reservation without asking for a budget."""
 
     async def reserve(
         self: Budgets, workspace: Workspace | None, tokens: int
@@ -100,12 +103,12 @@
 
 
 def overlook_drains() -> None:
-    """Send to targets that leave as long as they have an entry."""
+    """Send requests to draining targets as long as they have an entry."""
     patch(program, 'decode_target', decode_as_ready)
 
 
 def decode_as_ready(item: Item) -> TargetEntry:
-    """Return the entry of a target as if it never left."""
+    """Return the entry of a target as if it weren't draining."""
     return replace(decode_target(item), draining=False)
 
 
@@ -115,25 +118,27 @@
 
 
 def go_back() -> None:
-    """Go by the version before for a while."""
-    take = CatalogueView.apply_change
-
-    def swing(self: CatalogueView, change: Change, doubtful_until: float) -> None:
-        before = self.current
-        take(self, change, doubtful_until)
-        if before is None or self.current is before:
+    """Go back to the previous version of the catalogue for a while."""
+    apply_change = CatalogueView.apply_change
+
+    def change_and_go_back(
+        self: CatalogueView, change: Change, doubtful_until: float
+    ) -> None:
+        previous = self.current
+        apply_change(self, change, doubtful_until)
+        if previous is None or self.current is previous:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(ROLLBACK_DELAY_SECONDS, patch, self, 'current', before)
+        loop.call_later(ROLLBACK_DELAY_SECONDS, patch, self, 'current', previous)
         loop.call_later(
             ROLL_FORWARD_DELAY_SECONDS, patch, self, 'current', self.current
         )
 
-    patch(CatalogueView, 'apply_change', swing)
+    patch(CatalogueView, 'apply_change', change_and_go_back)
 
 
 def never_end() -> None:
-    """Stay after the last answer."""
+    """Don't exit after the last answer."""
 
     async def wait(self: Router, until: float) -> None:
         await asyncio.sleep(math.inf)
@@ -142,12 +147,12 @@
 
 
 def send_fatal() -> None:
-    """Send requests under which targets end like any other."""
+    """Send requests that crash targets like any other."""
     patch(FatalRequests, 'find_remaining_seconds', lambda fatal, digest: None)
 
 
 def overlook_limits() -> None:
-    """Send to limited targets like to any other."""
+    """Ignore the rate limits that targets advertise."""
     patch(TargetLimits, 'may_send', lambda limits, candidate, now: True)
 
 
@@ -167,7 +172,7 @@
 
 
 def main() -> None:
-    """Patch the program and run it as it is run without a patch."""
+    """Patch the program and run its usual entry point."""
     name = sys.argv.pop(1)
     MUTANTS[name].patch()
     entry_point.main()
--- a/packages/bench/src/ibisport_bench/soak/processes.py
+++ b/packages/bench/src/ibisport_bench/soak/processes.py
@@ -1,4 +1,4 @@
-"""The product's programs as processes of their own, and the signals to them."""
+"""Runs the product's programs as separate processes and sends them signals."""
 
 import asyncio
 import os
@@ -16,12 +16,12 @@
 
 
 class Host:
-    """One host with its one process, which is started again and again.
+    """A host with a single process, which is restarted during a run.
 
     Attributes:
-        settings: What its settings file says.
-        busy: Somebody ends its process just now.
-        start: The start that runs, or the last one.
+        settings: The contents of its settings file.
+        restarting: Whether its process is being stopped and started again.
+        start: The current or the last start of its process.
     """
 
     def __init__(
@@ -39,16 +39,21 @@
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """The name of the host."""
         return self.settings.host
 
     @property
     def is_running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     def use_mutant(self, module: str, name: str) -> None:
-        """Run a module of the soak that changes the program in memory."""
+        """Run the program through a module that patches it in memory.
+
+        Args:
+            module: The module.
+            name: The name of the patch.
+        """
         self._module = [module, name, self._module[-1]]
 
     async def launch(self) -> None:
@@ -71,27 +76,27 @@
             self._watch(self._process, self.start)
         )
 
-    def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process has not ended."""
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.is_running and self._process is not None:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
-    async def stop(self, patience: float) -> None:
-        """SIGTERM, and SIGKILL if it still runs after some seconds."""
+    async def stop(self, timeout: float) -> None:
+        """Send SIGTERM, and SIGKILL if the process runs on after the timeout."""
         with self._journal.track_fault(Cause.stop, self.name):
             self.start.told = read_clock()
             self.send_signal(signal.SIGTERM)
-            if not await self.wait(patience):
+            if not await self.wait(timeout):
                 self.kill()
-                await self.wait(patience)
+                await self.wait(timeout)
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL."""
         self.start.killed = self.start.killed or self.is_running
         self.send_signal(signal.SIGKILL)
 
     async def wait(self, seconds: float) -> bool:
-        """Wait for the end of the process; False if it still runs."""
+        """Wait until the process ends; return False if it is still running."""
         if self._process is None:
             return True
         try:
@@ -101,7 +106,7 @@
         return True
 
     def reload(self, retry_slack: float) -> None:
-        """Change the settings file and send SIGHUP."""
+        """Change the retry slack in the settings file and send SIGHUP."""
         bounds = replace(self.settings.bounds, retry_slack=retry_slack)
         self.settings = replace(self.settings, bounds=bounds)
         self._settings_path.write_text(format_settings(self.settings))
--- a/packages/bench/src/ibisport_bench/soak/run.py
+++ b/packages/bench/src/ibisport_bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run from its start to its verdict."""
+"""A single seeded run, from its start to its verdict."""
 
 import asyncio
 import random
@@ -16,19 +16,19 @@
 from ibisport_bench.soak.site import GRACE_SECONDS, Site
 
 READY_TIMEOUT_SECONDS = 20.0
-# Requests a second for each router, in the mean.
+# Mean rate for each router.
 REQUESTS_PER_SECOND = 12.0
-# Tokens that the tight workspaces have for each second and router.
+# Mean budget of the workspace that runs out of tokens, for each second and router.
 TIGHT_TOKENS_PER_SECOND = 150
 AMPLE_TOKENS = 100_000_000
-# No process should need more than its grace; a slow machine gets as much again.
+# A process must exit within its grace period; doubled for slow machines.
 MAX_EXIT_SECONDS = GRACE_SECONDS * 2
 LAG_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What one seed showed."""
+    """The result of one seed."""
 
     seed: int
     journal: Journal
@@ -36,10 +36,14 @@
 
     def __str__(self) -> str:
         journal = self.journal
-        faults = Counter(one.cause.value for one in journal.faults)
-        kinds = Counter(one.kind.value for one in journal.asks)
-        statuses = Counter(one.status for one in journal.asks)
-        killed = [one for one in journal.starts if one.killed and one.told < one.ended]
+        faults = Counter(fault.cause.value for fault in journal.faults)
+        kinds = Counter(request.kind.value for request in journal.asks)
+        statuses = Counter(request.status for request in journal.asks)
+        killed = [
+            start
+            for start in journal.starts
+            if start.killed and start.told < start.ended
+        ]
         lines = [
             f'seed {self.seed}: {len(journal.asks)} requests {dict(kinds)}, '
             f'statuses {dict(statuses)}, {len(journal.runs)} runs, '
@@ -47,20 +51,24 @@
             f'  faults {dict(faults)}, killed at the end of the grace: {len(killed)}',
             f'  violations: {len(self.violations)}',
         ]
-        lines += [f'  {one.check}: {one.description}' for one in self.violations]
+        lines += [
+            f'  {violation.check}: {violation.description}'
+            for violation in self.violations
+        ]
         return '\n'.join(lines)
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What one run is to be.
+    """The options of one run.
 
     Attributes:
-        seed: Of all that is drawn.
-        seconds: How long callers press.
-        routers: How many routers there are.
-        mutant: The name of the fault of the routers, or None.
-        only: The one kind of fault of the site that is played; None: all.
+        seed: Seed of all random choices.
+        seconds: How long callers send requests.
+        routers: The number of routers.
+        mutant: The name of the mutant that the routers run; None for the product.
+        only_fault: The only kind of fault to inject; None for all kinds that may be
+            injected together.
     """
 
     seed: int
@@ -70,25 +78,25 @@
     only_fault: str | None = None
 
 
-async def run_seed(order: RunOptions, folder: Path) -> Verdict:
-    """Play one seed."""
-    seed = order.seed
+async def run_seed(options: RunOptions, folder: Path) -> Verdict:
+    """Run one seed and check its journal."""
+    seed = options.seed
     journal = Journal()
     source = random.Random(f'budgets {seed}')
     tight = int(
         TIGHT_TOKENS_PER_SECOND
-        * order.seconds
-        * order.routers
+        * options.seconds
+        * options.routers
         * source.uniform(0.5, 1.5)
     )
     journal.budgets = {'tight': tight, 'ample': AMPLE_TOKENS}
-    site = Site(order.routers, seed, folder, journal)
-    if order.mutant is not None:
+    site = Site(options.routers, seed, folder, journal)
+    if options.mutant is not None:
         for host in site.routers:
-            host.use_mutant(MUTANT_MODULE, order.mutant)
+            host.use_mutant(MUTANT_MODULE, options.mutant)
     measuring = asyncio.ensure_future(measure_lag(journal))
     try:
-        await run_site(site, journal, order)
+        await run_site(site, journal, options)
     finally:
         measuring.cancel()
         for host in site.hosts:
@@ -96,28 +104,28 @@
     return Verdict(seed, journal, check_all(journal))
 
 
-async def run_site(site: Site, journal: Journal, order: RunOptions) -> None:
-    """Start all, play the faults, wait for the last answers and end all."""
+async def run_site(site: Site, journal: Journal, options: RunOptions) -> None:
+    """Start the site, inject faults, wait for the last answers and stop all hosts."""
     await site.open()
     await wait_until_ready(site)
-    callers = Callers(site.routers, site.keys, journal, order.seed)
-    until = read_clock() + order.seconds
-    plan = FaultInjector(site, callers, journal, order.seed, order.only_fault)
+    callers = Callers(site.routers, site.keys, journal, options.seed)
+    until = read_clock() + options.seconds
+    injector = FaultInjector(site, callers, journal, options.seed, options.only_fault)
     await asyncio.gather(
         callers.send_requests(REQUESTS_PER_SECOND, until),
-        plan.play(until - GRACE_SECONDS),
+        injector.inject_faults(until - GRACE_SECONDS),
     )
     await callers.finish()
     await asyncio.gather(*(stop_host(host) for host in site.hosts))
 
 
 async def stop_host(host: Host) -> None:
-    """SIGTERM at the end of a run."""
+    """Stop a host at the end of a run."""
     await host.stop(MAX_EXIT_SECONDS)
 
 
 async def wait_until_ready(site: Site) -> None:
-    """Wait until each router says that it takes new connections."""
+    """Wait until each router reports that it accepts new connections."""
     until = read_clock() + READY_TIMEOUT_SECONDS
     for host in site.routers:
         while not await is_ready(host):
@@ -127,7 +135,7 @@
 
 
 async def is_ready(host: Host) -> bool:
-    """Whether a router says that it takes new connections."""
+    """Whether a router reports that it accepts new connections."""
     address = host.settings.readiness_address
     if address is None:
         return False
@@ -142,8 +150,8 @@
 
 
 async def measure_lag(journal: Journal) -> None:
-    """Note how long this process itself was held up at most."""
+    """Record the longest delay of this process's event loop."""
     while True:
-        due = read_clock() + LAG_INTERVAL_SECONDS
+        expected_at = read_clock() + LAG_INTERVAL_SECONDS
         await asyncio.sleep(LAG_INTERVAL_SECONDS)
-        journal.lag = max(journal.lag, read_clock() - due)
+        journal.lag = max(journal.lag, read_clock() - expected_at)
--- a/packages/bench/src/ibisport_bench/soak/site.py
+++ b/packages/bench/src/ibisport_bench/soak/site.py
@@ -1,4 +1,4 @@
-"""One site on the loopback net: store, links, targets, routers and relays."""
+"""A site on the loopback network: store, links, targets, routers and relays."""
 
 import asyncio
 import os
@@ -39,10 +39,11 @@
 DOMAINS = ('domain-1', 'domain-2', 'domain-3')
 ROUTE_TIME_LIMIT_SECONDS = 20.0
 MAX_TARGETS = 3
-# Ports of one host: callers, readiness, peers, metrics, link, target.
+# Ports of each host: callers, readiness, peers, metrics, link, target.
 PORTS_PER_HOST = 6
 FIRST_PORT_RANGE = (20_000, 30_000)
-# Second octets of the loopback net; each run has its own.
+# Networks in 127.0.0.0/8 from which a run picks one by its process id, so that runs at
+# the same time rarely share addresses.
 MAX_NETWORKS = 250
 BOUNDS = Bounds(
     retry_ratio=0.1, retry_slack=20, retry_window=10, stop_grace=GRACE_SECONDS
@@ -56,15 +57,15 @@
 
 
 class Site:
-    """All that one run needs.
+    """The store, hosts, targets and links of one run.
 
     Attributes:
-        service: The store behind its wire.
+        service: The in-memory store.
         routers: Hosts of routers.
         relays: Hosts of relays.
         targets: Targets of both services.
         store_links: The loopback proxy between each router and the store.
-        keys: Workspace and key, pair by pair.
+        keys: Pairs of a workspace and its key.
     """
 
     def __init__(self, routers: int, seed: int, folder: Path, journal: Journal) -> None:
@@ -81,24 +82,24 @@
         self.store_links: dict[str, Link] = {}
         self.keys = [(name, f'key-{name}') for name in journal.budgets]
         self.routers = [
-            self._make_host('router', f'{self._network}.1.{one + 1}', one)
-            for one in range(routers)
+            self._make_host('router', f'{self._network}.1.{index + 1}', index)
+            for index in range(routers)
         ]
         self.relays = [
-            self._make_host('relay', f'{self._network}.2.{one + 1}', one)
-            for one in range(RELAYS)
+            self._make_host('relay', f'{self._network}.2.{index + 1}', index)
+            for index in range(RELAYS)
         ]
         self.targets = [
-            self._make_target(one) for one in range(PLAIN_TARGETS + ENGINES)
+            self._make_target(index) for index in range(PLAIN_TARGETS + ENGINES)
         ]
 
     @property
     def hosts(self) -> list[Host]:
-        """All hosts of processes."""
+        """All hosts, of routers and of relays."""
         return [*self.routers, *self.relays]
 
     async def open(self) -> None:
-        """Start everything."""
+        """Start the store, links, targets and hosts."""
         loop = asyncio.get_running_loop()
         await loop.create_server(
             self._server.connections.accept, *self._get_store_address()
@@ -124,36 +125,38 @@
     def _get_store_address(self) -> Address:
         return f'{self._network}.4.1', self._port
 
-    def _make_host(self, role: str, ip: str, number: int) -> Host:
+    def _make_host(self, role: str, ip: str, index: int) -> Host:
         port = self._port
         link = Link(
-            f'store of {role}-{number + 1}', (ip, port + 4), self._get_store_address()
+            f'store of {role}-{index + 1}', (ip, port + 4), self._get_store_address()
         )
-        routes = role == 'router'
+        is_router = role == 'router'
         settings = HostSettings(
-            host=f'{role}-{number + 1}',
-            domain=DOMAINS[number % len(DOMAINS)],
+            host=f'{role}-{index + 1}',
+            domain=DOMAINS[index % len(DOMAINS)],
             peer_address=(ip, port + 2),
             metrics_address=(ip, port + 3),
-            callers_address=(ip, port) if routes else None,
-            readiness_address=(ip, port + 1) if routes else None,
-            store_address=link.listen_address if routes else self._get_store_address(),
+            callers_address=(ip, port) if is_router else None,
+            readiness_address=(ip, port + 1) if is_router else None,
+            store_address=link.listen_address
+            if is_router
+            else self._get_store_address(),
             bounds=BOUNDS,
         )
-        if routes:
+        if is_router:
             self.store_links[settings.host] = link
         return Host(role, settings, self._folder, self._journal)
 
-    def _make_target(self, number: int) -> Target:
-        ip = f'{self._network}.2.{number + 1}'
-        service = PLAIN if number < PLAIN_TARGETS else ENGINE
-        name = f'{service}-{number + 1}'
+    def _make_target(self, index: int) -> Target:
+        ip = f'{self._network}.2.{index + 1}'
+        service = PLAIN if index < PLAIN_TARGETS else ENGINE
+        name = f'{service}-{index + 1}'
         link = Link(f'link of {name}', (ip, self._port + 4), (ip, self._port + 5))
         entry = TargetEntry(
             incarnation=name,
             service=service,
             address=link.listen_address,
-            domain=DOMAINS[number % len(DOMAINS)],
+            domain=DOMAINS[index % len(DOMAINS)],
             slots=PLAIN_SLOTS if service == PLAIN else ENGINE_SLOTS,
             draining=False,
             revision=0,
@@ -162,18 +165,21 @@
 
     def _make_catalogue(self, version: int) -> Catalogue:
         routes = [
-            make_route(kind.value, f'/{kind.value}/', *what)
-            for kind, what in ROUTE_KINDS.items()
+            make_route(kind.value, f'/{kind.value}/', *kind_and_service)
+            for kind, kind_and_service in ROUTE_KINDS.items()
         ]
         routes = [
-            replace(one, resumable=one.name == Kind.resume.value) for one in routes
+            replace(route, resumable=route.name == Kind.resume.value)
+            for route in routes
         ]
-        mark = make_route('mark', f'/mark/{version}/', RouteKind.idempotent, PLAIN)
+        probe_route = make_route(
+            'mark', f'/mark/{version}/', RouteKind.idempotent, PLAIN
+        )
         engine = Engine(ENGINE_SLOTS, ENGINE_MEMORY, 1)
         return Catalogue(
             version=version,
             revision=0,
-            routes=(*routes, replace(mark, public=True)),
+            routes=(*routes, replace(probe_route, public=True)),
             services={
                 PLAIN: Service(PLAIN, 0, None),
                 ENGINE: Service(ENGINE, 0, engine),
@@ -188,7 +194,7 @@
 
 
 def make_route(name: str, prefix: str, kind: RouteKind, service: str) -> Route:
-    """Return a route of the site."""
+    """Return a route of the site that isn't public or resumable."""
     return Route(
         name=name,
         host=SITE_HOST,
@@ -205,7 +211,7 @@
 
 
 def find_free_ports(random_source: random.Random, ip: str) -> int:
-    """Return the first of some ports in a row that nobody listens on."""
+    """Return the first of PORTS_PER_HOST consecutive ports that are free."""
     while True:
         first = random_source.randrange(*FIRST_PORT_RANGE)
         try:
--- a/packages/bench/src/ibisport_bench/soak/targets.py
+++ b/packages/bench/src/ibisport_bench/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that stream events slowly, or answer plainly, and log what they run."""
+"""Targets that answer plainly or stream events slowly, and record each run."""
 
 import asyncio
 import itertools
@@ -38,15 +38,15 @@
 from ibisport_platform.stand_in_records import encode_target
 
 POLL_INTERVAL_SECONDS = 0.1
-# A fatal request names the seconds after which its target ends.
+# The query parameter of a fatal request: seconds after which its target crashes.
 FATAL_PARAMETER = 'crash'
 # Three heartbeats of a target, after which the platform drops its entry.
 ENTRY_TIMEOUT_SECONDS = 1.5
 CRASH_RESTART_DELAY_SECONDS = 0.5
-# How long a target serves on after the store has accepted that it leaves, and a
-# little longer.
+# Range of the time for which a target keeps serving after the store has accepted that
+# it drains, with some margin.
 SERVE_AFTER_DRAIN_SECONDS = (4.5, 8.0)
-# uvloop raises RuntimeError where something is written to a closed connection.
+# uvloop raises RuntimeError on a write to a closed connection.
 CONNECTION_ERRORS = (
     ConnectionError,
     asyncio.IncompleteReadError,
@@ -58,11 +58,11 @@
 
 @dataclass(slots=True)
 class TargetFaults:
-    """What is wrong with a target now.
+    """The current faults of a target.
 
     Attributes:
-        breaks: Share of the answers that it breaks off.
-        late: Seconds by which it begins later.
+        break_share: Share of the answers that it breaks off.
+        delay_seconds: Delay before it starts an answer.
     """
 
     break_share: float = 0.0
@@ -70,14 +70,14 @@
 
 
 class Target:
-    """One target behind its link; it starts again under a new id.
+    """A target behind a link; each start is a new incarnation.
 
     Attributes:
-        name: Name of its place; incarnations add a number.
-        entry: How it announces itself now.
-        link: The loopback proxy before it.
-        ills: What is wrong with it.
-        rate: Requests a second that its answers name as its limit, or None.
+        name: Name shared by its incarnations, which add a number.
+        entry: Its current entry in the store.
+        link: The loopback proxy in front of it.
+        faults: Its current faults.
+        rate_limit: Requests per second that its answers advertise, or None.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen and announce a new incarnation."""
+        """Listen, and write the entry of a new incarnation to the store."""
         number = next(self._numbers)
         self.entry = replace(
             self.entry, incarnation=f'{self.name}-{number}', draining=False
@@ -109,7 +109,7 @@
         await self._announce()
 
     async def drain(self) -> None:
-        """Drain, serve on for a while, and end; what still runs breaks off."""
+        """Drain, keep serving for a while, and stop; answers in progress break off."""
         self.entry = replace(self.entry, draining=True)
         await self._announce()
         self._journal.drains[self.entry.incarnation] = read_clock()
@@ -118,7 +118,7 @@
         await self.remove_entry()
 
     async def remove_entry(self) -> None:
-        """Remove the entry."""
+        """Remove the entry from the store."""
         await self._wait_for_store()
         self._service.remove(encode_target(self.entry, self._seq)[0])
 
@@ -165,10 +165,10 @@
         self, head: Head, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         request_id = head.headers.get(REQUEST_ID, b'').decode()
-        refusal = self._find_refusal_status(head)
-        if refusal:
-            marks = [*self._make_headers(request_id), (NOT_EXECUTED, b'1')]
-            writer.write(encode_message(f'HTTP/1.1 {refusal} -', marks, b''))
+        refusal_status = self._find_refusal_status(head)
+        if refusal_status:
+            headers = [*self._make_headers(request_id), (NOT_EXECUTED, b'1')]
+            writer.write(encode_message(f'HTTP/1.1 {refusal_status} -', headers, b''))
             return
         run = Run(request_id, self.entry.incarnation, read_clock(), '')
         run.seal = f'{run.target}.{len(self._journal.runs)}'
@@ -189,10 +189,10 @@
 
     def _make_headers(self, request_id: str) -> list[tuple[bytes, bytes]]:
         load = b'%d,0,%d' % (self._in_flight, self.entry.slots)
-        marks = [(REQUEST_ID, request_id.encode()), (WORKER_LOAD, load)]
+        headers = [(REQUEST_ID, request_id.encode()), (WORKER_LOAD, load)]
         if self.rate_limit is not None:
-            marks.append((SERVER_LIMIT, b'%.1f' % self.rate_limit))
-        return marks
+            headers.append((SERVER_LIMIT, b'%.1f' % self.rate_limit))
+        return headers
 
     async def _run(
         self,
@@ -202,32 +202,32 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         query = head.start_line.split(b' ')[1].decode().partition('?')[2]
-        asked = dict(parse_qsl(query))
-        events = int(asked.get('events', '0'))
-        pause = float(asked.get('pause', '0'))
-        breaks_at = self._draw_break(events)
-        marks = [*self._make_headers(run.request_id), (SEAL, run.seal.encode())]
+        parameters = dict(parse_qsl(query))
+        events = int(parameters.get('events', '0'))
+        interval = float(parameters.get('pause', '0'))
+        break_at = self._draw_break(events)
+        headers = [*self._make_headers(run.request_id), (SEAL, run.seal.encode())]
         await asyncio.sleep(self.faults.delay_seconds)
-        if FATAL_PARAMETER in asked:
-            return await self._crash(run, head, float(asked[FATAL_PARAMETER]))
+        if FATAL_PARAMETER in parameters:
+            return await self._crash(run, head, float(parameters[FATAL_PARAMETER]))
         if not events:
-            await asyncio.sleep(pause)
-            if breaks_at == 0:
+            await asyncio.sleep(interval)
+            if break_at == 0:
                 return self._break_off(run, writer)
             body = make_body(run.request_id, 0)
             self._record_advertised_limit(run)
-            writer.write(encode_message('HTTP/1.1 200 OK', marks, body))
+            writer.write(encode_message('HTTP/1.1 200 OK', headers, body))
             run.complete = True
             return None
-        marks.append((b'transfer-encoding', b'chunked'))
+        headers.append((b'transfer-encoding', b'chunked'))
         self._record_advertised_limit(run)
-        lines = b''.join(b'%b: %b\r\n' % pair for pair in marks)
+        lines = b''.join(b'%b: %b\r\n' % pair for pair in headers)
         writer.write(b'HTTP/1.1 200 OK\r\n' + lines + HEAD_END[2:])
         for number in range(run.after + 1, events + 1):
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
             if reader.at_eof() or writer.is_closing():
                 raise ConnectionResetError
-            if number == breaks_at:
+            if number == break_at:
                 return self._break_off(run, writer)
             event = make_event(run.request_id, number)
             writer.write(b'%x\r\n%b\r\n' % (len(event), event))
