--- a/packages/bench/src/ibisport_bench/soak/callers.py
+++ b/packages/bench/src/ibisport_bench/soak/callers.py
@@ -67,7 +67,7 @@
 
 
 class Callers:
-    """All callers of one run.
+    """The callers of a run.
 
     Attributes:
         version: Always 0 and never read; probes take versions from the journal.
--- a/packages/bench/src/ibisport_bench/soak/catalogue_checks.py
+++ b/packages/bench/src/ibisport_bench/soak/catalogue_checks.py
@@ -35,7 +35,7 @@
     version is written, unless a newer one has replaced it by then.
     """
     later_times = (
-        written_at for version, written_at in written.items() if version > probe.version
+        written_at for number, written_at in written.items() if number > probe.version
     )
     replaced_at = min(later_times, default=math.inf)
     match probe.status:
@@ -50,7 +50,9 @@
 def check_back(evidence: Evidence) -> Iterator[Violation]:
     """A router doesn't go back to an older version before it is restarted."""
     seen: dict[tuple[str, int], list[RequestRecord]] = defaultdict(list)
-    for request in sorted(list_version_probes(evidence), key=lambda probe: probe.sent):
+    for request in sorted(
+        list_version_probes(evidence), key=lambda record: record.sent
+    ):
         if request.status == STATUS_OK:
             seen[request.router, request.start].append(request)
     for probes in seen.values():
--- a/packages/bench/src/ibisport_bench/soak/checks.py
+++ b/packages/bench/src/ibisport_bench/soak/checks.py
@@ -175,7 +175,7 @@
     paths = {crash.path for crash in evidence.journal.crashes}
     for path in sorted(paths):
         crash_times = [
-            crash.at for crash in evidence.journal.crashes if crash.path == path
+            record.at for record in evidence.journal.crashes if record.path == path
         ]
         if len(crash_times) < FATAL_THRESHOLD:
             continue
--- a/packages/bench/src/ibisport_bench/soak/fault_injection.py
+++ b/packages/bench/src/ibisport_bench/soak/fault_injection.py
@@ -56,7 +56,7 @@
 
 
 class FaultInjector:
-    """Draws and injects the faults of one run."""
+    """Draws and injects the faults of a run."""
 
     def __init__(
         self,
--- a/packages/bench/src/ibisport_bench/soak/mutants.py
+++ b/packages/bench/src/ibisport_bench/soak/mutants.py
@@ -119,13 +119,13 @@
 
 def go_back() -> None:
     """Go back to the previous version of the catalogue for a while."""
-    apply_change = CatalogueView.apply_change
+    apply_original = CatalogueView.apply_change
 
     def change_and_go_back(
         self: CatalogueView, change: Change, doubtful_until: float
     ) -> None:
         previous = self.current
-        apply_change(self, change, doubtful_until)
+        apply_original(self, change, doubtful_until)
         if previous is None or self.current is previous:
             return
         loop = asyncio.get_running_loop()
--- a/packages/bench/src/ibisport_bench/soak/targets.py
+++ b/packages/bench/src/ibisport_bench/soak/targets.py
@@ -167,8 +167,10 @@
         request_id = head.headers.get(REQUEST_ID, b'').decode()
         refusal_status = self._find_refusal_status(head)
         if refusal_status:
-            headers = [*self._make_headers(request_id), (NOT_EXECUTED, b'1')]
-            writer.write(encode_message(f'HTTP/1.1 {refusal_status} -', headers, b''))
+            answer_headers = [*self._make_headers(request_id), (NOT_EXECUTED, b'1')]
+            writer.write(
+                encode_message(f'HTTP/1.1 {refusal_status} -', answer_headers, b'')
+            )
             return
         run = Run(request_id, self.entry.incarnation, read_clock(), '')
         run.seal = f'{run.target}.{len(self._journal.runs)}'
