--- a/packages/bench/src/ibisport_bench/soak/analysis.py
+++ b/packages/bench/src/ibisport_bench/soak/analysis.py
@@ -64,7 +64,8 @@
         """Whether a request's router was undisturbed in a span.
 
         The process must have started, and all faults of the router, the store and the
-        link between them must have ended, RECOVERY_SECONDS before the span.
+        link between them must have ended, RECOVERY_SECONDS before the span; SIGTERM
+        must not come before its end.
         """
         start = self.starts[request.router, request.start]
         subjects = [request.router, 'store', f'store of {request.router}']
--- a/packages/bench/src/ibisport_bench/soak/fault_injection.py
+++ b/packages/bench/src/ibisport_bench/soak/fault_injection.py
@@ -253,7 +253,11 @@
         limit.ended = read_clock()
 
     def _claim_service(self, target: Target) -> bool:
-        """Claim the removal of a target; False if its service already lacks one."""
+        """Claim the removal of a target: one target of each service at a time.
+
+        Returns:
+            Whether no other target of its service is removed at the moment.
+        """
         if target.entry.service in self._leaving_services:
             return False
         self._leaving_services.add(target.entry.service)
