--- /dev/null
+++ b/packages/bench/src/ibisport_bench/soak/fault_injection.py
@@ -0,0 +1,288 @@
+"""The schedule of faults, drawn from a seed, and how each fault is injected."""
+
+import asyncio
+import random
+import signal
+from collections.abc import Awaitable, Coroutine, Mapping
+from typing import Any
+
+from ibisport_bench.soak.callers import Callers
+from ibisport_bench.soak.evidence import AdvertisedLimit, Cause, Journal, read_clock
+from ibisport_bench.soak.links import DIRECTIONS, TO_SINK, TO_SOURCE, Link
+from ibisport_bench.soak.processes import Host
+from ibisport_bench.soak.site import GRACE_SECONDS, Site
+from ibisport_bench.soak.targets import ENTRY_TIMEOUT_SECONDS, Target, TargetFaults
+
+RESTART_DELAY_SECONDS = (0.1, 1.5)
+ROLL_INTERVAL_SECONDS = (0.2, 2.5)
+VERSION_INTERVAL_SECONDS = (0.05, 0.4)
+MAX_VERSIONS = 5
+FIRST_FAULT_DELAY_SECONDS = 2.0
+# Mean intervals between the starts of two faults. Each run draws one of them: the
+# longest gives faults in series, the shortest several at once.
+MEAN_INTERVALS_SECONDS = (0.4, 1.0, 2.5)
+# The mean interval if only one kind of fault is injected.
+SINGLE_KIND_INTERVAL_SECONDS = 1.0
+FAULT_SECONDS = (0.3, 4.0)
+MAX_LINK_DELAY_SECONDS = 0.4
+RETRY_SLACKS = (5.0, 20.0, 40.0)
+MAX_STORE_SLOWDOWN = 60.0
+LOST_SHARE, LATE_SHARE = 0.3, 0.2
+BROKEN_SHARE = 0.5
+ALL_LINKS_SHARE = 0.3
+MAX_START_DELAY_SECONDS = 1.5
+STORE = 'store'
+# Relative frequencies of the faults. FaultInjector has a method for each name.
+FAULT_WEIGHTS: Mapping[str, float] = {
+    'roll_all': 2,
+    'roll_one': 3,
+    'crash': 2,
+    'freeze': 2,
+    'reload': 3,
+    'publish': 4,
+    'harm_store_link': 2,
+    'harm_target_link': 2,
+    'harm_store': 3,
+    'drain': 3,
+    'crash_target': 1,
+    'harm_target': 2,
+}
+# Faults that are only injected alone: beside them, the checks for other faults would
+# need exceptions for the affected targets.
+EXCLUSIVE_FAULTS = ('fatal', 'limit')
+FATAL_SECONDS = 15.0
+LIMIT_SECONDS = 12.0
+RATE_LIMITS_PER_SECOND = (0.5, 2.4, 6.0)
+
+
+class FaultInjector:
+    """Draws and injects the faults of a run."""
+
+    def __init__(
+        self,
+        site: Site,
+        callers: Callers,
+        journal: Journal,
+        seed: int,
+        only: str | None,
+    ) -> None:
+        """Draw the mean interval between faults.
+
+        Args:
+            site: The site that the faults affect.
+            callers: Send the fatal requests.
+            journal: Records the faults.
+            seed: Seed of all random choices.
+            only: The only kind of fault to inject; None for all kinds that may be
+                injected together.
+        """
+        self._site = site
+        self._callers = callers
+        self._journal = journal
+        # The schedule has a generator of its own, so that it doesn't depend on what
+        # the faults draw while they run.
+        self._schedule_random = random.Random(f'order {seed}')
+        self._random = random.Random(f'plan {seed}')
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._leaving_services: set[str] = set()
+        # A single kind leaves routers otherwise undisturbed, which checks with time
+        # bounds need.
+        self._weights = FAULT_WEIGHTS if only is None else {only: 1}
+        self._mean_interval = (
+            SINGLE_KIND_INTERVAL_SECONDS
+            if only
+            else self._schedule_random.choice(MEAN_INTERVALS_SECONDS)
+        )
+
+    async def inject_faults(self, until: float) -> None:
+        """Inject faults until a clock time, then wait until all of them have ended."""
+        kinds, weights = list(self._weights), list(self._weights.values())
+        await asyncio.sleep(FIRST_FAULT_DELAY_SECONDS)
+        while read_clock() < until:
+            kind = self._schedule_random.choices(kinds, weights)[0]
+            self._spawn(getattr(self, f'_{kind}')())
+            await asyncio.sleep(
+                self._schedule_random.expovariate(1 / self._mean_interval)
+            )
+        while self._tasks:
+            await asyncio.wait(self._tasks)
+
+    def _spawn(self, fault: Awaitable[None]) -> None:
+        task = asyncio.ensure_future(fault)
+        self._tasks.add(task)
+        task.add_done_callback(self._finish)
+
+    def _finish(self, task: asyncio.Future[None]) -> None:
+        self._tasks.discard(task)
+        # Raises errors of the soak itself, which must not pass as a run without faults.
+        task.result()
+
+    def _draw_uniform(self, span: tuple[float, float]) -> float:
+        return self._random.uniform(*span)
+
+    async def _roll_all(self) -> None:
+        """Restart all routers in random order, overlapping if the interval is short."""
+        interval = self._draw_uniform(ROLL_INTERVAL_SECONDS)
+        for host in self._random.sample(self._site.routers, len(self._site.routers)):
+            self._spawn(self._roll(host))
+            await asyncio.sleep(interval)
+
+    async def _roll_one(self) -> None:
+        await self._roll(self._random.choice(self._site.hosts))
+
+    async def _roll(self, host: Host) -> None:
+        await self._restart_after(host, host.stop(GRACE_SECONDS))
+
+    async def _crash(self) -> None:
+        host = self._random.choice(self._site.hosts)
+        await self._restart_after(host, self._kill(host))
+
+    async def _restart_after(self, host: Host, stop: Coroutine[Any, Any, None]) -> None:
+        if host.restarting:
+            stop.close()
+            return
+        host.restarting = True
+        await stop
+        await asyncio.sleep(self._draw_uniform(RESTART_DELAY_SECONDS))
+        await host.launch()
+        host.restarting = False
+
+    async def _kill(self, host: Host) -> None:
+        with self._journal.track_fault(Cause.kill, host.name, ''):
+            host.kill()
+            await host.wait(GRACE_SECONDS)
+
+    async def _freeze(self) -> None:
+        host = self._random.choice(self._site.hosts)
+        with self._journal.track_fault(Cause.freeze, host.name, ''):
+            host.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
+            host.send_signal(signal.SIGCONT)
+
+    async def _reload(self) -> None:
+        host = self._random.choice(self._site.routers)
+        host.reload(self._random.choice(RETRY_SLACKS))
+
+    async def _publish(self) -> None:
+        for _ in range(self._random.randint(1, MAX_VERSIONS)):
+            if not self._site.service.faults.down:
+                self._site.publish()
+            await asyncio.sleep(self._draw_uniform(VERSION_INTERVAL_SECONDS))
+
+    async def _harm_store_link(self) -> None:
+        links = list(self._site.store_links.values())
+        if self._random.random() > ALL_LINKS_SHARE:
+            links = [self._random.choice(links)]
+        link_fault = draw_link_fault(self._random)
+        await asyncio.gather(
+            *(self._inject_link_fault(link, *link_fault) for link in links)
+        )
+
+    async def _harm_target_link(self) -> None:
+        target = self._random.choice(self._site.targets)
+        await self._inject_link_fault(target.link, *draw_link_fault(self._random))
+
+    async def _inject_link_fault(self, link: Link, kind: str, seconds: float) -> None:
+        with self._journal.track_fault(Cause.link, link.name, kind):
+            match kind:
+                case 'delay':
+                    link.delay = self._draw_uniform((0, MAX_LINK_DELAY_SECONDS))
+                case 'reset':
+                    link.reset()
+                    return
+                case 'silence':
+                    link.silence(DIRECTIONS)
+                case direction:
+                    link.silence([direction])
+            await asyncio.sleep(seconds)
+            link.heal()
+
+    async def _harm_store(self) -> None:
+        faults = self._site.service.faults
+        kinds = ('lose', 'late', 'slow', 'down', 'silent', 'lapse')
+        kind = self._random.choice(kinds)
+        with self._journal.track_fault(Cause.store, STORE, kind):
+            match kind:
+                case 'lose':
+                    faults.lose = LOST_SHARE
+                case 'late':
+                    faults.late = LATE_SHARE
+                case 'slow':
+                    faults.slow = self._draw_uniform((2, MAX_STORE_SLOWDOWN))
+                case 'down':
+                    faults.down = True
+                case 'silent':
+                    faults.cut.add('all')
+                case _:
+                    self._site.service.end_leases()
+            await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
+            faults.lose, faults.late, faults.slow = 0.0, 0.0, 1.0
+            faults.down = False
+            faults.cut.clear()
+
+    async def _drain(self) -> None:
+        target = self._random.choice(self._site.targets)
+        if self._claim_service(target):
+            await target.drain()
+            await self._restart_target(target)
+
+    async def _crash_target(self) -> None:
+        target = self._random.choice(self._site.targets)
+        if self._claim_service(target):
+            target.end()
+            await asyncio.sleep(ENTRY_TIMEOUT_SECONDS)
+            await target.remove_entry()
+            await self._restart_target(target)
+
+    async def _fatal(self) -> None:
+        """Let a caller repeat a request that crashes each target that runs it."""
+        await self._callers.repeat_fatal_request(FATAL_SECONDS)
+
+    async def _limit(self) -> None:
+        """Let a target advertise a rate limit for a while."""
+        target = self._random.choice(self._site.targets)
+        if target.rate_limit is not None:
+            return
+        target.rate_limit = self._random.choice(RATE_LIMITS_PER_SECOND)
+        limit = AdvertisedLimit(
+            target.entry.incarnation, target.rate_limit, read_clock()
+        )
+        self._journal.limits.append(limit)
+        await asyncio.sleep(LIMIT_SECONDS)
+        target.rate_limit = None
+        limit.ended = read_clock()
+
+    def _claim_service(self, target: Target) -> bool:
+        """Claim the removal of a target: one target of each service at a time.
+
+        Returns:
+            Whether no other target of its service is removed at the moment.
+        """
+        if target.entry.service in self._leaving_services:
+            return False
+        self._leaving_services.add(target.entry.service)
+        return True
+
+    async def _restart_target(self, target: Target) -> None:
+        await asyncio.sleep(self._draw_uniform(RESTART_DELAY_SECONDS))
+        await target.start()
+        self._leaving_services.discard(target.entry.service)
+
+    async def _harm_target(self) -> None:
+        target = self._random.choice(self._site.targets)
+        delay = self._draw_uniform((0, MAX_START_DELAY_SECONDS))
+        faults = (
+            TargetFaults(break_share=BROKEN_SHARE)
+            if delay < 1
+            else TargetFaults(delay_seconds=delay)
+        )
+        with self._journal.track_fault(Cause.target, target.name, f'{faults}'):
+            target.faults = faults
+            await asyncio.sleep(self._draw_uniform(FAULT_SECONDS))
+            target.faults = TargetFaults()
+
+
+def draw_link_fault(random_source: random.Random) -> tuple[str, float]:
+    """Return a random fault of a link and its duration in seconds."""
+    kinds = ('delay', 'reset', 'silence', TO_SINK, TO_SOURCE)
+    return random_source.choice(kinds), random_source.uniform(*FAULT_SECONDS)
--- a/packages/bench/src/ibisport_bench/soak/run.py
+++ b/packages/bench/src/ibisport_bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run from its start to its verdict."""
+"""A single seeded run, from its start to its verdict."""
 
 import asyncio
 import random
@@ -6,29 +6,29 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from ibisport_bench.soak.analysis import Violation
 from ibisport_bench.soak.callers import Callers
 from ibisport_bench.soak.checks import check_all
 from ibisport_bench.soak.evidence import Journal, read_clock
-from ibisport_bench.soak.mutants import MODULE
-from ibisport_bench.soak.plan import Plan
+from ibisport_bench.soak.fault_injection import FaultInjector
+from ibisport_bench.soak.mutants import MUTANT_MODULE
 from ibisport_bench.soak.processes import Host
-from ibisport_bench.soak.site import GRACE_S, Site
-from ibisport_bench.soak.stories import Violation
-
-READY_SECONDS = 20.0
-# Requests a second for each router, in the mean.
-RATE = 12.0
-# Tokens that the tight workspaces have for each second and router.
-TIGHT_TOKENS = 150
+from ibisport_bench.soak.site import GRACE_SECONDS, Site
+
+READY_TIMEOUT_SECONDS = 20.0
+# Mean rate for each router.
+REQUESTS_PER_SECOND = 12.0
+# Mean budget of the workspace that runs out of tokens, for each second and router.
+TIGHT_TOKENS_PER_SECOND = 150
 AMPLE_TOKENS = 100_000_000
-# No process should need more than its grace; a slow machine gets as much again.
-END_SECONDS = GRACE_S * 2
-LAG_PERIOD_S = 0.05
+# A process must exit within its grace period; doubled for slow machines.
+MAX_EXIT_SECONDS = GRACE_SECONDS * 2
+LAG_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What one seed showed."""
+    """The result of one seed."""
 
     seed: int
     journal: Journal
@@ -36,10 +36,14 @@
 
     def __str__(self) -> str:
         journal = self.journal
-        faults = Counter(one.cause.value for one in journal.faults)
-        kinds = Counter(one.kind.value for one in journal.asks)
-        statuses = Counter(one.status for one in journal.asks)
-        killed = [one for one in journal.starts if one.killed and one.told < one.ended]
+        faults = Counter(fault.cause.value for fault in journal.faults)
+        kinds = Counter(request.kind.value for request in journal.asks)
+        statuses = Counter(request.status for request in journal.asks)
+        killed = [
+            start
+            for start in journal.starts
+            if start.killed and start.told < start.ended
+        ]
         lines = [
             f'seed {self.seed}: {len(journal.asks)} requests {dict(kinds)}, '
             f'statuses {dict(statuses)}, {len(journal.runs)} runs, '
@@ -47,43 +51,52 @@
             f'  faults {dict(faults)}, killed at the end of the grace: {len(killed)}',
             f'  violations: {len(self.violations)}',
         ]
-        lines += [f'  {one.check}: {one.story}' for one in self.violations]
+        lines += [
+            f'  {violation.check}: {violation.description}'
+            for violation in self.violations
+        ]
         return '\n'.join(lines)
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What one run is to be.
+class RunOptions:
+    """The options of one run.
 
     Attributes:
-        seed: Of all that is drawn.
-        seconds: How long callers press.
-        routers: How many routers there are.
-        mutant: The name of the fault of the routers, or None.
-        only: The one kind of fault of the site that is played; None: all.
+        seed: Seed of all random choices.
+        seconds: How long callers send requests.
+        routers: The number of routers.
+        mutant: The name of the mutant that the routers run; None for the product.
+        only_fault: The only kind of fault to inject; None for all kinds that may be
+            injected together.
     """
 
     seed: int
     seconds: float
     routers: int
     mutant: str | None = None
-    only: str | None = None
+    only_fault: str | None = None
 
 
-async def run_seed(order: Order, folder: Path) -> Verdict:
-    """Play one seed."""
-    seed = order.seed
+async def run_seed(options: RunOptions, folder: Path) -> Verdict:
+    """Run one seed and check its journal."""
+    seed = options.seed
     journal = Journal()
     source = random.Random(f'budgets {seed}')
-    tight = int(TIGHT_TOKENS * order.seconds * order.routers * source.uniform(0.5, 1.5))
+    tight = int(
+        TIGHT_TOKENS_PER_SECOND
+        * options.seconds
+        * options.routers
+        * source.uniform(0.5, 1.5)
+    )
     journal.budgets = {'tight': tight, 'ample': AMPLE_TOKENS}
-    site = Site(order.routers, seed, folder, journal)
-    if order.mutant is not None:
+    site = Site(options.routers, seed, folder, journal)
+    if options.mutant is not None:
         for host in site.routers:
-            host.mutate(MODULE, order.mutant)
+            host.use_mutant(MUTANT_MODULE, options.mutant)
     measuring = asyncio.ensure_future(measure_lag(journal))
     try:
-        await play(site, journal, order)
+        await run_site(site, journal, options)
     finally:
         measuring.cancel()
         for host in site.hosts:
@@ -91,35 +104,38 @@
     return Verdict(seed, journal, check_all(journal))
 
 
-async def play(site: Site, journal: Journal, order: Order) -> None:
-    """Start all, play the faults, wait for the last answers and end all."""
+async def run_site(site: Site, journal: Journal, options: RunOptions) -> None:
+    """Start the site, inject faults, wait for the last answers and stop all hosts."""
     await site.open()
     await wait_until_ready(site)
-    callers = Callers(site.routers, site.keys, journal, order.seed)
-    until = read_clock() + order.seconds
-    plan = Plan(site, callers, journal, order.seed, order.only)
-    await asyncio.gather(callers.press(RATE, until), plan.play(until - GRACE_S))
+    callers = Callers(site.routers, site.keys, journal, options.seed)
+    until = read_clock() + options.seconds
+    injector = FaultInjector(site, callers, journal, options.seed, options.only_fault)
+    await asyncio.gather(
+        callers.send_requests(REQUESTS_PER_SECOND, until),
+        injector.inject_faults(until - GRACE_SECONDS),
+    )
     await callers.finish()
-    await asyncio.gather(*(end_host(host) for host in site.hosts))
+    await asyncio.gather(*(stop_host(host) for host in site.hosts))
 
 
-async def end_host(host: Host) -> None:
-    """SIGTERM at the end of a run."""
-    await host.stop(END_SECONDS)
+async def stop_host(host: Host) -> None:
+    """Stop a host at the end of a run."""
+    await host.stop(MAX_EXIT_SECONDS)
 
 
 async def wait_until_ready(site: Site) -> None:
-    """Wait until each router says that it takes new connections."""
-    until = read_clock() + READY_SECONDS
+    """Wait until each router reports that it accepts new connections."""
+    until = read_clock() + READY_TIMEOUT_SECONDS
     for host in site.routers:
         while not await is_ready(host):
             if read_clock() > until:
                 raise TimeoutError(f'{host.name} is not ready')
-            await asyncio.sleep(LAG_PERIOD_S)
+            await asyncio.sleep(LAG_INTERVAL_SECONDS)
 
 
 async def is_ready(host: Host) -> bool:
-    """Whether a router says that it takes new connections."""
+    """Whether a router reports that it accepts new connections."""
     address = host.settings.readiness_address
     if address is None:
         return False
@@ -134,8 +150,8 @@
 
 
 async def measure_lag(journal: Journal) -> None:
-    """Note how long this process itself was held up at most."""
+    """Record the longest delay of this process's event loop."""
     while True:
-        due = read_clock() + LAG_PERIOD_S
-        await asyncio.sleep(LAG_PERIOD_S)
-        journal.lag = max(journal.lag, read_clock() - due)
+        expected_at = read_clock() + LAG_INTERVAL_SECONDS
+        await asyncio.sleep(LAG_INTERVAL_SECONDS)
+        journal.lag = max(journal.lag, read_clock() - expected_at)
--- a/packages/bench/src/ibisport_bench/soak/targets.py
+++ b/packages/bench/src/ibisport_bench/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that stream events slowly, or answer plainly, and log what they run."""
+"""Targets that answer plainly or stream events slowly, and record each run."""
 
 import asyncio
 import itertools
@@ -15,15 +15,15 @@
     make_event,
     read_clock,
 )
-from ibisport_bench.soak.links import Link
-from ibisport_bench.soak.wire import (
+from ibisport_bench.soak.http_messages import (
     HEAD_END,
     Head,
     MessageInvalid,
-    dump_message,
+    encode_message,
     read_head,
     skip_body,
 )
+from ibisport_bench.soak.links import Link
 from ibisport_bench.standins.memorystore import MemoryService
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.headers import (
@@ -37,17 +37,17 @@
 )
 from ibisport_platform.stand_in_records import encode_target
 
-POLL_SECONDS = 0.1
-# A fatal request names the seconds after which its target ends.
-FATAL = 'crash'
+POLL_INTERVAL_SECONDS = 0.1
+# The query parameter of a fatal request: seconds after which its target crashes.
+FATAL_PARAMETER = 'crash'
 # Three heartbeats of a target, after which the platform drops its entry.
-ENTRY_LAPSES_S = 1.5
-BACK_S = 0.5
-# How long a target serves on after the store has accepted that it leaves, and a
-# little longer.
-SERVES_ON_S = (4.5, 8.0)
-# uvloop raises RuntimeError where something is written to a closed connection.
-ENDED = (
+ENTRY_TIMEOUT_SECONDS = 1.5
+CRASH_RESTART_DELAY_SECONDS = 0.5
+# Range of the time for which a target keeps serving after the store has accepted that
+# it drains, with some margin.
+SERVE_AFTER_DRAIN_SECONDS = (4.5, 8.0)
+# uvloop raises RuntimeError on a write to a closed connection.
+CONNECTION_ERRORS = (
     ConnectionError,
     asyncio.IncompleteReadError,
     MessageInvalid,
@@ -57,27 +57,27 @@
 
 
 @dataclass(slots=True)
-class Ills:
-    """What is wrong with a target now.
+class TargetFaults:
+    """The current faults of a target.
 
     Attributes:
-        breaks: Share of the answers that it breaks off.
-        late: Seconds by which it begins later.
+        break_share: Share of the answers that it breaks off.
+        delay_seconds: Delay before it starts an answer.
     """
 
-    breaks: float = 0.0
-    late: float = 0.0
+    break_share: float = 0.0
+    delay_seconds: float = 0.0
 
 
 class Target:
-    """One target behind its link; it starts again under a new id.
+    """A target behind a link; each start is a new incarnation.
 
     Attributes:
-        name: Name of its place; incarnations add a number.
-        entry: How it announces itself now.
-        link: The loopback proxy before it.
-        ills: What is wrong with it.
-        rate: Requests a second that its answers name as its limit, or None.
+        name: Name shared by its incarnations, which add a number.
+        entry: Its current entry in the store.
+        link: The loopback proxy in front of it.
+        faults: Its current faults.
+        rate_limit: Requests per second that its answers advertise, or None.
     """
 
     def __init__(
@@ -86,20 +86,20 @@
         self.name = entry.incarnation
         self.entry = entry
         self.link = link
-        self.ills = Ills()
-        self.rate: float | None = None
+        self.faults = TargetFaults()
+        self.rate_limit: float | None = None
         self._service = service
         self._journal = journal
         self._random = random.Random(f'{entry.incarnation} {entry.started_at_ms}')
         self._numbers = itertools.count(1)
-        self._running = 0
+        self._in_flight = 0
         self._seq = 0
         self._server: asyncio.Server | None = None
-        self._returning: asyncio.Future[None] | None = None
+        self._restart_task: asyncio.Future[None] | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen and announce a new incarnation."""
+        """Listen, and write the entry of a new incarnation to the store."""
         number = next(self._numbers)
         self.entry = replace(
             self.entry, incarnation=f'{self.name}-{number}', draining=False
@@ -108,24 +108,26 @@
         await self.link.open()
         await self._announce()
 
-    async def leave(self) -> None:
-        """Drain, serve on for a while, and end; what still runs breaks off."""
+    async def drain(self) -> None:
+        """Drain, keep serving for a while, and stop; answers in progress break off."""
         self.entry = replace(self.entry, draining=True)
         await self._announce()
         self._journal.drains[self.entry.incarnation] = read_clock()
-        await asyncio.sleep(self._random.uniform(*SERVES_ON_S))
+        await asyncio.sleep(self._random.uniform(*SERVE_AFTER_DRAIN_SECONDS))
         self.end()
-        await self.withdraw()
+        await self.remove_entry()
 
-    async def withdraw(self) -> None:
-        """Remove the entry."""
+    async def remove_entry(self) -> None:
+        """Remove the entry from the store."""
         await self._wait_for_store()
         self._service.remove(encode_target(self.entry, self._seq)[0])
 
     def end(self) -> None:
         """Close the listener and all connections."""
         incarnation = self.entry.incarnation
-        self._journal.begin(Cause.target, incarnation, 'ended').ended = read_clock()
+        self._journal.record_fault(
+            Cause.target, incarnation, 'ended'
+        ).ended = read_clock()
         self.link.close()
         if self._server is not None:
             self._server.close()
@@ -140,7 +142,7 @@
 
     async def _wait_for_store(self) -> None:
         while self._service.faults.down:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -152,7 +154,7 @@
                 head = await read_head(reader)
                 await skip_body(reader, head)
                 await self._answer(head, reader, writer)
-        except ENDED:
+        except CONNECTION_ERRORS:
             # The router closed or reset the connection.
             return
         finally:
@@ -163,34 +165,36 @@
         self, head: Head, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         request_id = head.headers.get(REQUEST_ID, b'').decode()
-        refusal = self._refuse(head)
-        if refusal:
-            marks = [*self._mark(request_id), (NOT_EXECUTED, b'1')]
-            writer.write(dump_message(f'HTTP/1.1 {refusal} -', marks, b''))
+        refusal_status = self._find_refusal_status(head)
+        if refusal_status:
+            answer_headers = [*self._make_headers(request_id), (NOT_EXECUTED, b'1')]
+            writer.write(
+                encode_message(f'HTTP/1.1 {refusal_status} -', answer_headers, b'')
+            )
             return
         run = Run(request_id, self.entry.incarnation, read_clock(), '')
         run.seal = f'{run.target}.{len(self._journal.runs)}'
         run.after = int(head.headers.get(LAST_EVENT_ID, b'0'))
         self._journal.runs.append(run)
-        self._running += 1
+        self._in_flight += 1
         try:
             await self._run(run, head, reader, writer)
         finally:
-            self._running -= 1
+            self._in_flight -= 1
             run.ended = read_clock()
 
-    def _refuse(self, head: Head) -> int:
+    def _find_refusal_status(self, head: Head) -> int:
         expected = head.headers.get(EXPECT_INSTANCE, b'').decode()
         if expected and expected != self.entry.incarnation:
             return 421
-        return 503 if self._running >= self.entry.slots else 0
+        return 503 if self._in_flight >= self.entry.slots else 0
 
-    def _mark(self, request_id: str) -> list[tuple[bytes, bytes]]:
-        load = b'%d,0,%d' % (self._running, self.entry.slots)
-        marks = [(REQUEST_ID, request_id.encode()), (WORKER_LOAD, load)]
-        if self.rate is not None:
-            marks.append((SERVER_LIMIT, b'%.1f' % self.rate))
-        return marks
+    def _make_headers(self, request_id: str) -> list[tuple[bytes, bytes]]:
+        load = b'%d,0,%d' % (self._in_flight, self.entry.slots)
+        headers = [(REQUEST_ID, request_id.encode()), (WORKER_LOAD, load)]
+        if self.rate_limit is not None:
+            headers.append((SERVER_LIMIT, b'%.1f' % self.rate_limit))
+        return headers
 
     async def _run(
         self,
@@ -199,33 +203,33 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        query = head.start.split(b' ')[1].decode().partition('?')[2]
-        asked = dict(parse_qsl(query))
-        events = int(asked.get('events', '0'))
-        pause = float(asked.get('pause', '0'))
-        breaks_at = self._draw_break(events)
-        marks = [*self._mark(run.request_id), (SEAL, run.seal.encode())]
-        await asyncio.sleep(self.ills.late)
-        if FATAL in asked:
-            return await self._crash(run, head, float(asked[FATAL]))
+        query = head.start_line.split(b' ')[1].decode().partition('?')[2]
+        parameters = dict(parse_qsl(query))
+        events = int(parameters.get('events', '0'))
+        interval = float(parameters.get('pause', '0'))
+        break_at = self._draw_break(events)
+        headers = [*self._make_headers(run.request_id), (SEAL, run.seal.encode())]
+        await asyncio.sleep(self.faults.delay_seconds)
+        if FATAL_PARAMETER in parameters:
+            return await self._crash(run, head, float(parameters[FATAL_PARAMETER]))
         if not events:
-            await asyncio.sleep(pause)
-            if breaks_at == 0:
+            await asyncio.sleep(interval)
+            if break_at == 0:
                 return self._break_off(run, writer)
             body = make_body(run.request_id, 0)
-            self._note_named(run)
-            writer.write(dump_message('HTTP/1.1 200 OK', marks, body))
+            self._record_advertised_limit(run)
+            writer.write(encode_message('HTTP/1.1 200 OK', headers, body))
             run.complete = True
             return None
-        marks.append((b'transfer-encoding', b'chunked'))
-        self._note_named(run)
-        lines = b''.join(b'%b: %b\r\n' % pair for pair in marks)
+        headers.append((b'transfer-encoding', b'chunked'))
+        self._record_advertised_limit(run)
+        lines = b''.join(b'%b: %b\r\n' % pair for pair in headers)
         writer.write(b'HTTP/1.1 200 OK\r\n' + lines + HEAD_END[2:])
         for number in range(run.after + 1, events + 1):
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
             if reader.at_eof() or writer.is_closing():
                 raise ConnectionResetError
-            if number == breaks_at:
+            if number == break_at:
                 return self._break_off(run, writer)
             event = make_event(run.request_id, number)
             writer.write(b'%x\r\n%b\r\n' % (len(event), event))
@@ -234,30 +238,32 @@
 
     async def _crash(self, run: Run, head: Head, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        if run.target != self.entry.incarnation or self._returning is not None:
+        if run.target != self.entry.incarnation or self._restart_task is not None:
             return
-        path = head.start.split(b' ')[1].decode()
+        path = head.start_line.split(b' ')[1].decode()
         self._journal.crashes.append(Crash(path, read_clock()))
-        self._returning = asyncio.ensure_future(self._return())
+        self._restart_task = asyncio.ensure_future(self._restart())
         self.end()
 
-    async def _return(self) -> None:
-        await asyncio.sleep(ENTRY_LAPSES_S)
-        await self.withdraw()
-        await asyncio.sleep(BACK_S)
-        self._returning = None
+    async def _restart(self) -> None:
+        await asyncio.sleep(ENTRY_TIMEOUT_SECONDS)
+        await self.remove_entry()
+        await asyncio.sleep(CRASH_RESTART_DELAY_SECONDS)
+        self._restart_task = None
         await self.start()
 
-    def _note_named(self, run: Run) -> None:
-        if self.rate is not None:
+    def _record_advertised_limit(self, run: Run) -> None:
+        if self.rate_limit is not None:
             run.named = read_clock()
 
     def _draw_break(self, events: int) -> int:
-        if self._random.random() >= self.ills.breaks:
+        if self._random.random() >= self.faults.break_share:
             return -1
         return self._random.randint(min(1, events), events)
 
     def _break_off(self, run: Run, writer: asyncio.StreamWriter) -> None:
         run.broken_off = True
-        self._journal.begin(Cause.target, run.target, 'broke off').ended = read_clock()
+        self._journal.record_fault(
+            Cause.target, run.target, 'broke off'
+        ).ended = read_clock()
         writer.transport.abort()
