--- a/packages/bench/src/ibisport_bench/experiments/capacity.py
+++ b/packages/bench/src/ibisport_bench/experiments/capacity.py
@@ -20,7 +20,7 @@
 from ibisport_bench.experiments.capacity_target import (
     BOUNDS,
     FLEET,
-    SECONDS_A_DAY,
+    SECONDS_PER_DAY,
 )
 from ibisport_bench.experiments.fit import Line
 from ibisport_core.internal.watching import SILENCE_LIMIT
@@ -31,31 +31,31 @@
 MEASURED = FOLDER / 'measured.json'
 TEMPLATE = FOLDER / 'capacity_page.md'
 PAGE = 'docs/CAPACITY.md'
-MICROS = 1_000_000
-BUSY_SHARE = 0.7
+MILLION = 1_000_000
+MAX_CORE_SHARE = 0.7
 # Below this a level is rounding of the fit.
-SMALLEST = 1e-9
+MIN_NONZERO = 1e-9
 # What the changes would be: design figures, not measurements.
 PLANNED_PROCESSES = 3
-LINKS_A_MODEL = 2
-PLANNED_LINKS = LINKS_A_MODEL * FLEET.models
-PLANNED_HEARTBEAT = 15.0
+LINKS_PER_MODEL = 2
+PLANNED_LINKS = LINKS_PER_MODEL * FLEET.models
+PLANNED_HEARTBEAT_SECONDS = 15.0
 PLANNED_POLL_SHARE = 0.25
-LISTED_AT_ONCE = 10
-PLANNED_SETTLE = 2.0
-WATCHERS_A_DOMAIN = 2
-REGION_HORIZON = 3600
+AGENTS_PER_LISTING = 10
+PLANNED_SETTLE_SECONDS = 2.0
+WATCHERS_PER_DOMAIN = 2
+REGION_HORIZON_SECONDS = 3600
 SHARDS = 64
 SHARD_DRAW_SECONDS = 5.0
-REGION_TRIP = 0.15
-CLAIM_WINDOW = 0.1
+REGION_ROUND_TRIP_SECONDS = 0.15
+CLAIM_WINDOW_SECONDS = 0.1
 # As long as the router keeps a claim of an idempotent request.
-CLAIM_KEPT = 15 * 60
-LOOKS_A_GRACE = 4
-KEEPS_A_LEASE = 4
-PREFIXES_A_LOOK = 2
+CLAIM_LIFETIME_SECONDS = 15 * 60
+SCANS_PER_GRACE = 4
+RENEWALS_PER_LEASE = 4
+PREFIXES_PER_SCAN = 2
 # Session and watch, each after 0.5 to 1 s.
-RETRIES_A_SECOND = 2 / 0.75
+RETRIES_PER_SECOND = 2 / 0.75
 PLANNED_WRITES = (
     'planned_settle',
     'planned_claims',
@@ -67,12 +67,12 @@
     {
         'links_core': BOUNDS.core,
         'links_mb': BOUNDS.megabytes,
-        'links_bytes': BOUNDS.bytes_a_second,
+        'links_bytes': BOUNDS.bytes_per_second,
         'node_base_core': BOUNDS.core,
         'node_base_mb': BOUNDS.megabytes,
         'agent_core': BOUNDS.core,
         'agent_mb': BOUNDS.megabytes,
-        'agent_bytes': BOUNDS.bytes_a_second,
+        'agent_bytes': BOUNDS.bytes_per_second,
         'record_bytes': BOUNDS.value_bytes,
         'look_reads': BOUNDS.store_reads,
         'keep_reads': BOUNDS.store_reads,
@@ -84,7 +84,7 @@
         'planned_store_writes': BOUNDS.store_writes,
         'planned_node_core': BOUNDS.core,
         'planned_node_mb': BOUNDS.megabytes,
-        'planned_links_bytes': BOUNDS.bytes_a_second,
+        'planned_links_bytes': BOUNDS.bytes_per_second,
         'agent_planned_core': BOUNDS.core,
     }
 )
@@ -121,8 +121,8 @@
         self._router = RouterSettings()
         self._agent = AgentSettings()
         node_chunks = FLEET.tokens / FLEET.nodes
-        node_cores = node_chunks * measured.router_micros / MICROS
-        self._processes = max(1, math.ceil(node_cores / BUSY_SHARE))
+        node_cores = node_chunks * measured.router_micros / MILLION
+        self._processes = max(1, math.ceil(node_cores / MAX_CORE_SHARE))
         self._routers = FLEET.nodes * self._processes
         self._entries_mb = self._lines['entries']['router_mb'].slope * FLEET.entries
 
@@ -130,34 +130,34 @@
         """Return every figure of the page as text."""
         found: dict[str, float] = {}
         parts: tuple[Callable[[], dict[str, float]], ...] = (
-            self._work_streams,
-            self._work_links,
-            self._work_agent,
-            self._work_catalogue,
-            self._work_sessions,
-            self._work_settlement,
-            self._work_events,
-            self._work_outage,
-            self._work_commands,
+            self._compute_streams,
+            self._compute_links,
+            self._compute_agent,
+            self._compute_catalogue,
+            self._compute_sessions,
+            self._compute_settlement,
+            self._compute_events,
+            self._compute_outage,
+            self._compute_commands,
         )
         for part in parts:
             found |= part()
         found['planned_store_writes'] = sum(found[name] for name in PLANNED_WRITES)
-        shown = {name: show(level) for name, level in found.items()}
-        return shown | judge(found)
+        shown = {name: format_figure(level) for name, level in found.items()}
+        return shown | check_limits(found)
 
-    def _work_streams(self) -> dict[str, float]:
+    def _compute_streams(self) -> dict[str, float]:
         measured = self._measured
         return {
             'node_chunks': FLEET.tokens / FLEET.nodes,
             'node_requests': FLEET.requests / FLEET.nodes,
             'router_micros': measured.router_micros,
             'agent_micros': measured.agent_micros,
-            'node_cores': FLEET.tokens / FLEET.nodes * measured.router_micros / MICROS,
+            'node_cores': FLEET.tokens / FLEET.nodes * measured.router_micros / MILLION,
             'processes': self._processes,
-            'wanted_micros': BUSY_SHARE
+            'wanted_micros': MAX_CORE_SHARE
             * PLANNED_PROCESSES
-            * MICROS
+            * MILLION
             * FLEET.nodes
             / FLEET.tokens,
             'routers': self._routers,
@@ -165,44 +165,44 @@
             'agent_stream_core': FLEET.tokens
             / FLEET.workers
             * measured.agent_micros
-            / MICROS,
+            / MILLION,
         }
 
-    def _work_links(self) -> dict[str, float]:
+    def _compute_links(self) -> dict[str, float]:
         core = self._lines['agents']['router_core']
         memory = self._lines['agents']['router_mb']
         heartbeats = frames.measure_heartbeats()
         a_second = heartbeats / self._router.heartbeat_every
-        planned = heartbeats / PLANNED_HEARTBEAT
-        pace = self._router.heartbeat_every / PLANNED_HEARTBEAT
+        planned = heartbeats / PLANNED_HEARTBEAT_SECONDS
+        pace = self._router.heartbeat_every / PLANNED_HEARTBEAT_SECONDS
         node_links = PLANNED_LINKS * PLANNED_PROCESSES
         return {
             'link_core': core.slope,
             'router_base_core': core.base,
             'router_base_mb': memory.base,
             'link_mb': memory.slope,
-            'links_core': core.at(FLEET.workers),
-            'links_mb': memory.at(FLEET.workers),
+            'links_core': core.evaluate(FLEET.workers),
+            'links_mb': memory.evaluate(FLEET.workers),
             'heartbeat_bytes': heartbeats,
             'links_bytes': a_second * FLEET.workers,
             'links_messages': 2 * FLEET.workers / self._router.heartbeat_every,
             'links_fit_core': max(0, (BOUNDS.core - core.base) / core.slope),
             'links_fit_mb': max(0, (BOUNDS.megabytes - memory.base) / memory.slope),
-            'links_fit_bytes': BOUNDS.bytes_a_second / a_second,
+            'links_fit_bytes': BOUNDS.bytes_per_second / a_second,
             'planned_links': PLANNED_LINKS,
-            'planned_heartbeat': PLANNED_HEARTBEAT,
+            'planned_heartbeat': PLANNED_HEARTBEAT_SECONDS,
             'planned_node_links': node_links,
             'planned_processes': PLANNED_PROCESSES,
             'planned_node_core': core.slope * pace * node_links
             + core.base * PLANNED_POLL_SHARE,
-            'planned_node_mb': (memory.at(PLANNED_LINKS) + self._entries_mb)
+            'planned_node_mb': (memory.evaluate(PLANNED_LINKS) + self._entries_mb)
             * PLANNED_PROCESSES,
             'planned_links_bytes': planned * node_links,
             'node_base_core': core.base * self._processes,
             'node_base_mb': memory.base * self._processes,
         }
 
-    def _work_agent(self) -> dict[str, float]:
+    def _compute_agent(self) -> dict[str, float]:
         core = self._lines['routers']['agent_core']
         memory = self._lines['routers']['agent_mb']
         a_second = frames.measure_heartbeats() / self._agent.heartbeat_every
@@ -213,17 +213,17 @@
             'agent_base_core': core.base,
             'agent_base_mb': memory.base,
             'agent_link_mb': memory.slope,
-            'agent_core': core.at(self._routers),
-            'agent_mb': memory.at(self._routers),
+            'agent_core': core.evaluate(self._routers),
+            'agent_mb': memory.evaluate(self._routers),
             'agent_bytes': a_second * self._routers,
             'agent_links_planned': routers_planned,
-            'agent_planned_core': core.at(routers_planned),
+            'agent_planned_core': core.evaluate(routers_planned),
             'agent_planned_bytes': frames.measure_heartbeats()
-            / PLANNED_HEARTBEAT
+            / PLANNED_HEARTBEAT_SECONDS
             * routers_planned,
         }
 
-    def _work_catalogue(self) -> dict[str, float]:
+    def _compute_catalogue(self) -> dict[str, float]:
         memory = self._lines['entries']['router_mb']
         core = self._lines['changes']['router_core']
         update = frames.measure_update()
@@ -241,33 +241,33 @@
             'watches': self._routers,
             'watch_calls': self._routers / SILENCE_LIMIT,
             'watch_events': FLEET.changes * self._routers,
-            'watches_planned': WATCHERS_A_DOMAIN * FLEET.domains,
+            'watches_planned': WATCHERS_PER_DOMAIN * FLEET.domains,
             'relay_bytes': FLEET.changes * update,
             'ask_messages': self._routers / self._router.catalogue_every,
         }
 
-    def _work_sessions(self) -> dict[str, float]:
+    def _compute_sessions(self) -> dict[str, float]:
         agent = frames.measure_listed_agent()
         record = agent * FLEET.workers
-        looks = self._routers * LOOKS_A_GRACE / self._router.recover_after
-        keeps = self._routers * KEEPS_A_LEASE / self._router.lease_seconds
+        looks = self._routers * SCANS_PER_GRACE / self._router.recover_after
+        keeps = self._routers * RENEWALS_PER_LEASE / self._router.lease_seconds
         idle = self._lines['routers']
         routers = self._routers
         return {
             'listed_bytes': agent,
             'record_bytes': record,
             'record_most_agents': BOUNDS.value_bytes / agent,
-            'look_reads': looks * PREFIXES_A_LOOK * math.ceil(routers / PAGE_SIZE),
+            'look_reads': looks * PREFIXES_PER_SCAN * math.ceil(routers / PAGE_SIZE),
             'look_reads_one': FLEET.nodes
-            * LOOKS_A_GRACE
+            * SCANS_PER_GRACE
             / self._router.recover_after
-            * PREFIXES_A_LOOK,
+            * PREFIXES_PER_SCAN,
             'look_mb_one': FLEET.nodes**2
-            * LOOKS_A_GRACE
+            * SCANS_PER_GRACE
             / self._router.recover_after
             * record
-            / MICROS,
-            'look_mb': looks * routers * record / MICROS,
+            / MILLION,
+            'look_mb': looks * routers * record / MILLION,
             'keep_reads': keeps,
             'keep_writes': keeps,
             'idle_reads': idle['reads'].base + idle['reads'].slope,
@@ -275,14 +275,14 @@
             'planned_record': agent * PLANNED_LINKS,
             'planned_sessions': FLEET.domains,
             'planned_session_reads': FLEET.domains
-            * (KEEPS_A_LEASE / self._router.lease_seconds)
-            * (1 + PREFIXES_A_LOOK),
+            * (RENEWALS_PER_LEASE / self._router.lease_seconds)
+            * (1 + PREFIXES_PER_SCAN),
             'planned_session_writes': FLEET.domains
-            * KEEPS_A_LEASE
+            * RENEWALS_PER_LEASE
             / self._router.lease_seconds,
         }
 
-    def _work_settlement(self) -> dict[str, float]:
+    def _compute_settlement(self) -> dict[str, float]:
         pairs = FLEET.budgets * self._routers
         period = self._router.settle_every
         expected = FLEET.requests * period / pairs
@@ -302,14 +302,14 @@
             'charges_all_mb': lines['agent_mb'].slope * FLEET.budgets,
             'charges_workspaces_mb': lines['agent_mb'].slope * FLEET.workspaces,
             'busiest_writes': one_key,
-            'busiest_serial': 1 / REGION_TRIP,
+            'busiest_serial': 1 / REGION_ROUND_TRIP_SECONDS,
             'busiest_bytes': frames.measure_grant() * self._routers,
             'grant_bytes': frames.measure_grant(),
             'floor_bytes': floors,
             'floors_bytes': floors * rises * FLEET.workers,
             'floors_agent_bytes': floors * FLEET.requests,
             'floors_whole': floors * FLEET.budgets,
-            'planned_settle': FLEET.domains / PLANNED_SETTLE,
+            'planned_settle': FLEET.domains / PLANNED_SETTLE_SECONDS,
             'planned_draws': SHARDS * FLEET.regions / SHARD_DRAW_SECONDS,
             'planned_busiest': FLEET.regions / SHARD_DRAW_SECONDS,
             'shard_budgets': FLEET.budgets / SHARDS,
@@ -318,22 +318,22 @@
             * FLEET.regions
             * frames.measure_grant(),
             'claim_writes': FLEET.requests,
-            'claims_kept': FLEET.requests * CLAIM_KEPT / MICROS,
-            'planned_claims': FLEET.domains / CLAIM_WINDOW,
+            'claims_kept': FLEET.requests * CLAIM_LIFETIME_SECONDS / MILLION,
+            'planned_claims': FLEET.domains / CLAIM_WINDOW_SECONDS,
             'router_requests': FLEET.requests / self._routers,
-            'claim_window': CLAIM_WINDOW * 1000,
+            'claim_window': CLAIM_WINDOW_SECONDS * 1000,
             'horizon': self._router.grant_horizon,
-            'region_horizon': REGION_HORIZON,
+            'region_horizon': REGION_HORIZON_SECONDS,
         }
 
-    def _work_events(self) -> dict[str, float]:
-        listings = FLEET.agent_events * self._routers / SECONDS_A_DAY
+    def _compute_events(self) -> dict[str, float]:
+        listings = FLEET.agent_events * self._routers / SECONDS_PER_DAY
         agents = FLEET.workers / FLEET.domains
         routers = self._routers / FLEET.domains
         writes = agents * self._routers + FLEET.workers * routers
-        reads = routers * (FLEET.entries / PAGE_SIZE + PREFIXES_A_LOOK)
+        reads = routers * (FLEET.entries / PAGE_SIZE + PREFIXES_PER_SCAN)
         domain_links = FLEET.nodes * PLANNED_PROCESSES * PLANNED_LINKS / FLEET.domains
-        planned = FLEET.nodes / FLEET.domains * 2 + domain_links / LISTED_AT_ONCE
+        planned = FLEET.nodes / FLEET.domains * 2 + domain_links / AGENTS_PER_LISTING
         return {
             'agent_events': FLEET.agent_events,
             'router_events': FLEET.router_events,
@@ -348,15 +348,17 @@
             'domain_planned_seconds': planned / BOUNDS.store_writes,
         }
 
-    def _work_outage(self) -> dict[str, float]:
+    def _compute_outage(self) -> dict[str, float]:
         leases = 2 * self._routers
         pending = FLEET.budgets
         # As many as requests that the grants in hand can serve.
-        served = FLEET.requests * min(self._router.grant_horizon, REGION_HORIZON)
+        served = FLEET.requests * min(
+            self._router.grant_horizon, REGION_HORIZON_SECONDS
+        )
         most = min(FLEET.budgets * self._routers, served)
         pages = math.ceil(FLEET.entries / PAGE_SIZE)
         # The whole catalogue is read only if the store has compacted meanwhile.
-        reads = self._routers * (pages + PREFIXES_A_LOOK + 1)
+        reads = self._routers * (pages + PREFIXES_PER_SCAN + 1)
         planned = FLEET.domains * 3 + SHARDS * FLEET.regions
         return {
             'back_lease_writes': leases,
@@ -366,12 +368,12 @@
             'back_hours_most': (leases + most) / BOUNDS.store_writes / 3600,
             'back_reads': reads,
             'back_read_seconds': reads / BOUNDS.store_reads,
-            'back_retries': self._routers * RETRIES_A_SECOND,
+            'back_retries': self._routers * RETRIES_PER_SECOND,
             'back_planned': planned,
             'back_planned_seconds': planned / BOUNDS.store_writes,
         }
 
-    def _work_commands(self) -> dict[str, float]:
+    def _compute_commands(self) -> dict[str, float]:
         commands = self._measured.document['commands']
         put = commands['catalogue put']
         top_up = commands['budget top-up']
@@ -388,7 +390,7 @@
         }
 
 
-def judge(found: Mapping[str, float]) -> dict[str, str]:
+def check_limits(found: Mapping[str, float]) -> dict[str, str]:
     """Return ``yes`` or ``no`` for each figure that a bound holds for.
 
     Args:
@@ -400,9 +402,9 @@
     }
 
 
-def show(level: float) -> str:
+def format_figure(level: float) -> str:
     """Return a figure with three digits that count, and thousands apart."""
-    if abs(level) < SMALLEST:
+    if abs(level) < MIN_NONZERO:
         return '0'
     digits = 2 - math.floor(math.log10(abs(level)))
     if digits <= 0:
@@ -484,7 +486,9 @@
             points = ', '.join(
                 f'{one["size"]:g}: {one[level]}' for one in slope['costs']
             )
-            shown = [show(line[part]) for part in ('slope', 'base', 'residual')]
+            shown = [
+                format_figure(line[part]) for part in ('slope', 'base', 'residual')
+            ]
             rows.append(f'| {name} | {level} | {points} | {" | ".join(shown)} |')
     return '\n'.join(rows)
 
--- a/packages/bench/src/ibisport_bench/experiments/capacity_target.py
+++ b/packages/bench/src/ibisport_bench/experiments/capacity_target.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     @property
     def changes(self) -> float:
         """Catalogue changes a second, on average over a day."""
-        return self.changes_a_day / SECONDS_A_DAY
+        return self.changes_a_day / SECONDS_PER_DAY
 
     @property
     def agent_events(self) -> float:
@@ -51,7 +51,7 @@
 
     core: float = 0.03
     megabytes: float = 256
-    bytes_a_second: float = 7_000
+    bytes_per_second: float = 7_000
     store_writes: float = 500
     store_reads: float = 2_000
     value_bytes: int = 1_000_000
--- a/packages/bench/src/ibisport_bench/experiments/fit.py
+++ b/packages/bench/src/ibisport_bench/experiments/fit.py
@@ -20,7 +20,7 @@
     base: float
     residual: float
 
-    def at(self, size: float) -> float:
+    def evaluate(self, size: float) -> float:
         """Return the line's level at a size."""
         return self.base + self.slope * size
 
--- a/packages/bench/src/ibisport_bench/experiments/frames.py
+++ b/packages/bench/src/ibisport_bench/experiments/frames.py
@@ -18,19 +18,19 @@
     dump_session,
 )
 
-LENGTH_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 # IPv4 and TCP headers with timestamps; the answer's bare acknowledgement is
 # counted with the frame, as a quiet link has one for each.
 PACKET_BYTES = 52 * 2
 ENTRY_BYTES = 250
-_MANY = 100
+_SAMPLE_COUNT = 100
 _NOW = 1_800_000_000_000_000
 _ADDRESS = '10.123.45.67:41234'
 
 
 def measure_frame(message: Message) -> int:
     """Return the bytes that one message costs on a quiet link."""
-    return len(encode_message(message)) + LENGTH_BYTES + PACKET_BYTES
+    return len(encode_message(message)) + LENGTH_PREFIX_BYTES + PACKET_BYTES
 
 
 def measure_heartbeats() -> int:
@@ -44,8 +44,8 @@
     """Return the bytes of one budget in a message of settled floors."""
     session = make_session()
     floor = ChargeFloor('workspace-123', 'main', 123_456)
-    many = len(encode_message(Settled(session, (floor,) * _MANY)))
-    return (many - len(encode_message(Settled(session, ())))) / _MANY
+    many = len(encode_message(Settled(session, (floor,) * _SAMPLE_COUNT)))
+    return (many - len(encode_message(Settled(session, ())))) / _SAMPLE_COUNT
 
 
 def measure_update() -> int:
@@ -58,15 +58,15 @@
     """Return the bytes of one agent in a session's record."""
     agents = tuple(
         ListedAgent(f'worker-{number:05}', _ADDRESS, make_session())
-        for number in range(_MANY)
+        for number in range(_SAMPLE_COUNT)
     )
     many = len(dump_session(SessionRecord(agents=agents)))
-    return (many - len(dump_session(SessionRecord()))) / _MANY
+    return (many - len(dump_session(SessionRecord()))) / _SAMPLE_COUNT
 
 
 def measure_grant() -> float:
     """Return the bytes of one session's grant in a budget's account."""
     grant = Grant(1_234_567, 1_200_000, 12_345, 6_789)
-    grants = {make_session(): grant for _ in range(_MANY)}
+    grants = {make_session(): grant for _ in range(_SAMPLE_COUNT)}
     many = len(dump_account(Account(10**9, grants=grants)))
-    return (many - len(dump_account(Account(10**9)))) / _MANY
+    return (many - len(dump_account(Account(10**9)))) / _SAMPLE_COUNT
--- a/packages/bench/src/ibisport_bench/experiments/latency.py
+++ b/packages/bench/src/ibisport_bench/experiments/latency.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from ibisport_bench.experiments.figures import print_row, print_table
-from ibisport_bench.experiments.processes import read_used
+from ibisport_bench.experiments.processes import read_usage
 from ibisport_bench.launcher import Program
 from ibisport_bench.load import recording
 from ibisport_bench.load.arrivals import name_workspace
@@ -30,14 +30,14 @@
 from ibisport_bench.load.report import write_result
 from ibisport_bench.site import Site, SitePlan, WorkspacePlan
 
-TOKENS = 60
-MILLIS = 1000
-MICROS = 1_000_000
-STREAMS_A_CALLER = 75
-STREAMS_AN_ENGINE = 50
-SPARE_SLOTS = 3
-CALLER_SECONDS = 180
-BUDGET = 10**12
+TOKENS_PER_ANSWER = 60
+MS_PER_SECOND = 1000
+MICROS_PER_SECOND = 1_000_000
+STREAMS_PER_CALLER = 75
+STREAMS_PER_ENGINE = 50
+SLOTS_PER_STREAM = 3
+CALLER_TIMEOUT_SECONDS = 180
+BUDGET_TOKENS = 10**12
 COLUMNS = (
     'streams',
     'way',
@@ -49,11 +49,11 @@
     'answered',
     'not whole',
 )
-TIMED = (recording.FIRST, recording.GAP)
+TIMED_KINDS = (recording.FIRST, recording.GAP)
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class Measurement:
     """One load on one way.
 
     Attributes:
@@ -100,8 +100,8 @@
         self._token_ms = token_ms
         self._seconds = seconds
         self._folder = Path(tempfile.mkdtemp(prefix='ibisport-latency-'))
-        engines = max(1, -(-streams // STREAMS_AN_ENGINE))
-        slots = SPARE_SLOTS * streams // engines + 8
+        engines = max(1, -(-streams // STREAMS_PER_ENGINE))
+        slots = SLOTS_PER_STREAM * streams // engines + 8
         self._site = Site(
             SitePlan(
                 engines=engines,
@@ -109,14 +109,14 @@
                 routers=1,
                 slots=slots,
                 token_ms=token_ms,
-                workspaces=(WorkspacePlan(name_workspace(0), BUDGET),),
+                workspaces=(WorkspacePlan(name_workspace(0), BUDGET_TOKENS),),
                 router_flags={'streams': 2 * streams + 50},
                 engine_flags={'threads': slots + 16},
             ),
             self._folder,
         )
 
-    def measure(self) -> list[Measured]:
+    def measure(self) -> list[Measurement]:
         """Start the site and measure both ways."""
         try:
             start_patiently(self._site)
@@ -126,7 +126,7 @@
         finally:
             self._site.stop()
 
-    def _measure(self, way: str, addresses: Sequence[str]) -> Measured:
+    def _measure(self, way: str, addresses: Sequence[str]) -> Measurement:
         groups = self._list_groups()
         before = [_read_seconds(group) for group in groups]
         writes = self._read_writes()
@@ -139,14 +139,14 @@
         ]
         counts = _add_counts([one['counts'] for one in results])
         chunks = max(1, counts.get('chunks', 0))
-        return Measured(
+        return Measurement(
             streams=self._streams,
             way=way,
-            times={kind: _add_histograms(results, kind) for kind in TIMED},
+            times={kind: _add_histograms(results, kind) for kind in TIMED_KINDS},
             chunks=chunks,
             chunks_a_second=round(chunks / elapsed, 1),
-            router_micros=round(sum(used[0]) / chunks * MICROS, 1),
-            agent_micros=round(sum(used[1]) / chunks * MICROS, 1),
+            router_micros=round(sum(used[0]) / chunks * MICROS_PER_SECOND, 1),
+            agent_micros=round(sum(used[1]) / chunks * MICROS_PER_SECOND, 1),
             router_share=round(max(used[0]) / elapsed, 3),
             agent_share=round(max(used[1]) / elapsed, 3),
             engine_share=round(max(used[2]) / elapsed, 3),
@@ -170,13 +170,13 @@
         )
 
     def _run_callers(self, way: str, addresses: Sequence[str]) -> list[dict[str, Any]]:
-        count = max(1, -(-self._streams // STREAMS_A_CALLER))
+        count = max(1, -(-self._streams // STREAMS_PER_CALLER))
         running = [
             self._start_caller(f'{way}-{number}', number, count, addresses)
             for number in range(count)
         ]
         for process in running:
-            process.wait(CALLER_SECONDS)
+            process.wait(CALLER_TIMEOUT_SECONDS)
         return [
             orjson.loads((self._folder / f'{way}-{number}.json').read_bytes())
             for number in range(count)
@@ -185,14 +185,14 @@
     def _start_caller(
         self, name: str, number: int, count: int, addresses: Sequence[str]
     ) -> subprocess.Popen[bytes]:
-        answer_seconds = TOKENS * self._token_ms / MILLIS
+        answer_seconds = TOKENS_PER_ANSWER * self._token_ms / MS_PER_SECOND
         config = {
             'name': name,
             'seed': number + 1,
             'seconds': self._seconds,
             'rate': self._streams / answer_seconds / count,
             'workspaces': 1,
-            'answers': {'median': TOKENS, 'sigma': 0},
+            'answers': {'median': TOKENS_PER_ANSWER, 'sigma': 0},
             'streamed': 1,
             'most_tries': 1,
             'routers': addresses,
@@ -221,7 +221,7 @@
         out: Folder of the result.
     """
     print_table('Added latency', COLUMNS, ())
-    measured: list[Measured] = []
+    measured: list[Measurement] = []
     for count in _list_counts(streams):
         for one in LatencyRun(count, token_ms, seconds).measure():
             measured.append(one)
@@ -229,7 +229,7 @@
         # Written after each count, so that what was measured is kept.
         found = {
             'token_ms': token_ms,
-            'tokens': TOKENS,
+            'tokens': TOKENS_PER_ANSWER,
             'seconds': seconds,
             'runs': [asdict(one) for one in measured],
         }
@@ -246,7 +246,7 @@
 
 
 def _read_seconds(programs: Sequence[Program]) -> list[float]:
-    return [read_used(program).seconds for program in programs]
+    return [read_usage(program).seconds for program in programs]
 
 
 def _add_histograms(results: Sequence[dict[str, Any]], kind: str) -> dict[str, float]:
@@ -263,13 +263,13 @@
     return {name: sum(one.get(name, 0) for one in counts) for name in sorted(names)}
 
 
-def _make_row(one: Measured) -> Sequence[str]:
+def _make_row(one: Measurement) -> Sequence[str]:
     wrong = one.counts['arrivals'] - one.counts.get('verdict.whole', 0)
     shares = (one.router_share, one.agent_share, one.engine_share)
     return [
         str(one.streams),
         one.way,
-        *[_show_percentiles(one.times[kind]) for kind in TIMED],
+        *[_show_percentiles(one.times[kind]) for kind in TIMED_KINDS],
         f'{one.chunks_a_second:.0f}',
         f'{one.router_micros:.0f}/{one.agent_micros:.0f}',
         '/'.join(f'{share:.2f}' for share in shares),
--- a/packages/bench/src/ibisport_bench/experiments/operator_cost.py
+++ b/packages/bench/src/ibisport_bench/experiments/operator_cost.py
@@ -15,7 +15,7 @@
 from ibisport_bench.site import Site, SitePlan, WorkspacePlan
 from ibisport_core.entries import EntryKind, TargetState, dump_entry
 
-TOKENS = 1000
+BUDGET_TOKENS = 1000
 
 
 def run(out: str = 'bench-results') -> None:
@@ -25,12 +25,15 @@
         out: Folder of the result.
     """
     plan = SitePlan(
-        engines=1, services=0, routers=0, workspaces=(WorkspacePlan('small', TOKENS),)
+        engines=1,
+        services=0,
+        routers=0,
+        workspaces=(WorkspacePlan('small', BUDGET_TOKENS),),
     )
     site = Site(plan, Path(tempfile.mkdtemp(prefix='ibisport-operator-')))
     try:
         site.start()
-        found = {name: _count(site, act) for name, act in _list_commands(site)}
+        found = {name: _count_calls(site, act) for name, act in _list_commands(site)}
     finally:
         site.stop()
     write_result(Path(out) / 'operator_cost.json', 1, {'commands': found})
@@ -53,12 +56,12 @@
         operator.set_target_state('engine-0', TargetState.draining)
 
     def top_up() -> None:
-        operator.top_up('small', 'main', TOKENS, 'second')
+        operator.top_up('small', 'main', BUDGET_TOKENS, 'second')
 
     return [('catalogue put', put), ('target drain', drain), ('budget top-up', top_up)]
 
 
-def _count(site: Site, act: Callable[[], object]) -> dict[str, int]:
+def _count_calls(site: Site, act: Callable[[], object]) -> dict[str, int]:
     site.http.request('POST', f'{site.store.url}/reset_counts')
     act()
     answer = site.http.request('GET', f'{site.store.url}/counts')
--- a/packages/bench/src/ibisport_bench/experiments/plots.py
+++ b/packages/bench/src/ibisport_bench/experiments/plots.py
@@ -35,7 +35,7 @@
         line = slope['lines'][level]
         axes.plot(sizes, [cost[level] for cost in slope['costs']], 'o', label=level)
         axes.plot(sizes, [line['base'] + line['slope'] * size for size in sizes], '--')
-    _finish(figure, axes, path, name, 'share of a core')
+    _save_figure(figure, axes, path, name, 'share of a core')
 
 
 def _plot_latency(path: Path, runs: list[dict[str, Any]]) -> None:
@@ -47,10 +47,10 @@
             levels = [one['times'][kind][PERCENTILE] for one in chosen]
             axes.plot(streams, levels, 'o-', label=f'{way} {kind} {PERCENTILE}')
     axes.set_yscale('log')
-    _finish(figure, axes, path, 'open streams', 'milliseconds')
+    _save_figure(figure, axes, path, 'open streams', 'milliseconds')
 
 
-def _finish(figure: Any, axes: Any, path: Path, across: str, up: str) -> None:
+def _save_figure(figure: Any, axes: Any, path: Path, across: str, up: str) -> None:
     axes.set_xlabel(across)
     axes.set_ylabel(up)
     axes.legend()
--- a/packages/bench/src/ibisport_bench/experiments/processes.py
+++ b/packages/bench/src/ibisport_bench/experiments/processes.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Used:
+class Usage:
     """What one process has used so far.
 
     Attributes:
@@ -21,13 +21,13 @@
     """
 
     seconds: float
-    resident: int
+    resident_bytes: int
 
 
-def read_used(program: Program) -> Used:
+def read_usage(program: Program) -> Usage:
     """Return what a running program has used."""
     folder = Path('/proc') / str(program.process.pid)
     fields = (folder / 'stat').read_text().rpartition(')')[2].split()
     ticks = int(fields[_USER_FIELD]) + int(fields[_SYSTEM_FIELD])
     pages = int((folder / 'statm').read_text().split()[_PAGES_FIELD])
-    return Used(ticks / os.sysconf('SC_CLK_TCK'), pages * os.sysconf('SC_PAGE_SIZE'))
+    return Usage(ticks / os.sysconf('SC_CLK_TCK'), pages * os.sysconf('SC_PAGE_SIZE'))
--- a/packages/bench/src/ibisport_bench/experiments/regression.py
+++ b/packages/bench/src/ibisport_bench/experiments/regression.py
@@ -15,7 +15,7 @@
 import orjson
 
 from ibisport_bench.experiments.figures import print_table
-from ibisport_bench.experiments.latency import LatencyRun, Measured
+from ibisport_bench.experiments.latency import LatencyRun, Measurement
 from ibisport_bench.load.report import write_result
 from ibisport_core.codec import decode_message, encode_message
 from ibisport_core.messages import REQUEST_ID_BYTES, Chunk
@@ -23,13 +23,13 @@
 BOUNDS = Path(__file__).parent / 'bounds.json'
 STREAMS = 12
 TOKEN_MS = 40
-SECONDS = 6
-PIECE = b'data: %s\n\n' % (b'x' * 200)
-LOOPS = 100_000
-UNIT_LOOPS = 100
+LOAD_SECONDS = 6
+CHUNK_DATA = b'data: %s\n\n' % (b'x' * 200)
+LOOP_TURNS = 100_000
+UNIT_TURNS = 100
 REPEATS = 5
 CALLS = 2000
-MICROS = 1_000_000
+MICROS_PER_SECOND = 1_000_000
 _FACTOR = 31
 _MODULUS = 1009
 
@@ -53,7 +53,7 @@
 
 def measure_codec(unit: float) -> dict[str, float]:
     """Return the cost of encoding and decoding a chunk, in units."""
-    chunk = Chunk(b'x' * REQUEST_ID_BYTES, 1, len(PIECE), PIECE)
+    chunk = Chunk(b'x' * REQUEST_ID_BYTES, 1, len(CHUNK_DATA), CHUNK_DATA)
     wire = encode_message(chunk)
     return {
         'chunk_encode': _time_calls(lambda: encode_message(chunk)) / unit,
@@ -63,15 +63,17 @@
 
 def measure_unit() -> float:
     """Return the processor seconds of a hundred turns of a fixed loop."""
-    times = timeit.repeat(_spin, number=1, repeat=REPEATS, timer=time.process_time)
-    return min(times) * UNIT_LOOPS / LOOPS
+    times = timeit.repeat(
+        _run_fixed_loop, number=1, repeat=REPEATS, timer=time.process_time
+    )
+    return min(times) * UNIT_TURNS / LOOP_TURNS
 
 
 def measure_site(unit: float) -> dict[str, float]:
     """Return the figures of a small site, in units and counts."""
-    run = LatencyRun(STREAMS, TOKEN_MS, SECONDS)
+    run = LatencyRun(STREAMS, TOKEN_MS, LOAD_SECONDS)
     routed = next(one for one in run.measure() if one.way == 'routed')
-    return _judge(routed, unit)
+    return _compute_figures(routed, unit)
 
 
 def run(out: str = 'bench-results') -> None:
@@ -96,12 +98,12 @@
         sys.exit(1)
 
 
-def _judge(routed: Measured, unit: float) -> dict[str, float]:
+def _compute_figures(routed: Measurement, unit: float) -> dict[str, float]:
     counts = routed.counts
     arrivals = counts['arrivals']
     return {
-        'router_chunk': routed.router_micros / MICROS / unit,
-        'agent_chunk': routed.agent_micros / MICROS / unit,
+        'router_chunk': routed.router_micros / MICROS_PER_SECOND / unit,
+        'agent_chunk': routed.agent_micros / MICROS_PER_SECOND / unit,
         'not_whole': arrivals - counts.get('verdict.whole', 0),
         'store_writes_a_request': routed.store_writes / max(1, arrivals),
     }
@@ -112,9 +114,9 @@
     return min(times) / CALLS
 
 
-def _spin() -> int:
+def _run_fixed_loop() -> int:
     state = 1
-    for number in range(LOOPS):
+    for number in range(LOOP_TURNS):
         state = (state * _FACTOR + number) % _MODULUS
     return state
 
--- a/packages/bench/src/ibisport_bench/experiments/slopes.py
+++ b/packages/bench/src/ibisport_bench/experiments/slopes.py
@@ -23,7 +23,7 @@
 
 from ibisport_bench.experiments.figures import print_row, print_table
 from ibisport_bench.experiments.fit import Line, fit_line
-from ibisport_bench.experiments.processes import Used, read_used
+from ibisport_bench.experiments.processes import Usage, read_usage
 from ibisport_bench.launcher import Program
 from ibisport_bench.load.patience import start_patiently
 from ibisport_bench.load.report import write_result
@@ -33,18 +33,18 @@
 from ibisport_core.store import Put
 
 SETTLE_SECONDS = 3.0
-STARTED_AT_ONCE = 8
-PUTS_AT_ONCE = 100
-BYTES_A_MEGABYTE = 1_000_000
-CALL_TIMEOUT = 10
-NO_TARGET = '127.0.0.1:9'
+THREADS = 8
+MAX_PUTS_PER_COMMIT = 100
+BYTES_PER_MEGABYTE = 1_000_000
+CALL_TIMEOUT_SECONDS = 10
+UNREACHABLE_ADDRESS = '127.0.0.1:9'
 BUDGET_TOKENS = 1_000_000
-AGENTS = (8, 16, 32)
-ROUTERS = (2, 4, 8)
-BUDGETS = (10, 30, 100)
-ENTRIES = (100, 1000, 5000)
-CHANGES = (2, 5, 10)
-CALL_EVERY = 2.0
+AGENT_COUNTS = (8, 16, 32)
+ROUTER_COUNTS = (2, 4, 8)
+BUDGET_COUNTS = (10, 30, 100)
+ENTRY_COUNTS = (100, 1000, 5000)
+CHANGES_PER_SECOND = (2, 5, 10)
+CALL_INTERVAL_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +144,7 @@
     """Vary the agents before two routers."""
     slope = Slope('agents', '2 routers, idle')
     with _RunningSite(routers=2) as site:
-        for count in AGENTS:
+        for count in AGENT_COUNTS:
             _add_agents(site, count)
             slope.costs.append(Meter(site, seconds).measure(count))
     return slope
@@ -154,8 +154,8 @@
     """Vary the routers before eight agents."""
     slope = Slope('routers', '8 agents, idle')
     with _RunningSite(routers=1) as site:
-        _add_agents(site, AGENTS[0])
-        for count in ROUTERS:
+        _add_agents(site, AGENT_COUNTS[0])
+        for count in ROUTER_COUNTS:
             while len(site.routers) < count:
                 site.add_router()
             site.wait_ready()
@@ -167,11 +167,14 @@
     """Vary the budgets that are drawn on, each by a call every two seconds."""
     slope = Slope('budgets', '1 router, 1 plain service, a call each 2 s a budget')
     workspaces = tuple(
-        WorkspacePlan(f'w{number}', BUDGET_TOKENS) for number in range(BUDGETS[-1])
+        WorkspacePlan(f'w{number}', BUDGET_TOKENS)
+        for number in range(BUDGET_COUNTS[-1])
     )
     with _RunningSite(routers=1, services=1, workspaces=workspaces) as site:
-        for count in BUDGETS:
-            with _Repeating(_make_calls(site, count), count / CALL_EVERY):
+        for count in BUDGET_COUNTS:
+            with _PeriodicCalls(
+                _make_calls(site, count), count / CALL_INTERVAL_SECONDS
+            ):
                 slope.costs.append(Meter(site, seconds).measure(count))
     return slope
 
@@ -180,9 +183,9 @@
     """Vary the catalogue's entries."""
     slope = Slope('entries', '2 routers, 8 agents, idle')
     with _RunningSite(routers=2) as site:
-        _add_agents(site, AGENTS[0])
+        _add_agents(site, AGENT_COUNTS[0])
         written = 0
-        for count in ENTRIES:
+        for count in ENTRY_COUNTS:
             _put_entries(site, range(written, count))
             written = count
             slope.costs.append(Meter(site, seconds).measure(count))
@@ -193,16 +196,16 @@
     """Vary the changes a second of a catalogue of a thousand entries."""
     slope = Slope('changes', '2 routers, 8 agents, 1,000 entries')
     with _RunningSite(routers=2) as site:
-        _add_agents(site, AGENTS[0])
-        _put_entries(site, range(ENTRIES[1]))
-        numbers = itertools.cycle(range(ENTRIES[1]))
+        _add_agents(site, AGENT_COUNTS[0])
+        _put_entries(site, range(ENTRY_COUNTS[1]))
+        numbers = itertools.cycle(range(ENTRY_COUNTS[1]))
 
         def change() -> None:
             number = next(numbers)
             _put_entries(site, range(number, number + 1))
 
-        for rate in CHANGES:
-            with _Repeating(change, rate):
+        for rate in CHANGES_PER_SECOND:
+            with _PeriodicCalls(change, rate):
                 slope.costs.append(Meter(site, seconds).measure(rate))
     return slope
 
@@ -274,24 +277,24 @@
         self._site.stop()
 
 
-class _Repeating:
+class _PeriodicCalls:
     """Does something at a fixed rate in threads, for the time of one point."""
 
     def __init__(self, action: Callable[[], object], rate: float) -> None:
         self._action = action
         self._rate = rate
         self._stopped = threading.Event()
-        self._thread = threading.Thread(target=self._work, daemon=True)
+        self._thread = threading.Thread(target=self._run, daemon=True)
 
     def __enter__(self) -> None:
         self._thread.start()
 
     def __exit__(self, *failure: object) -> None:
         self._stopped.set()
-        self._thread.join(CALL_TIMEOUT)
+        self._thread.join(CALL_TIMEOUT_SECONDS)
 
-    def _work(self) -> None:
-        with ThreadPoolExecutor(STARTED_AT_ONCE) as pool:
+    def _run(self) -> None:
+        with ThreadPoolExecutor(THREADS) as pool:
             due = time.monotonic()
             while not self._stopped.wait(max(0, due - time.monotonic())):
                 pool.submit(self._action)
@@ -300,7 +303,7 @@
 
 def _make_calls(site: Site, count: int) -> Callable[[], object]:
     numbers = itertools.cycle(range(count))
-    http = urllib3.PoolManager(maxsize=STARTED_AT_ONCE, retries=False)
+    http = urllib3.PoolManager(maxsize=THREADS, retries=False)
 
     def call() -> None:
         http.request(
@@ -308,7 +311,7 @@
             f'{site.routers[0].url}/portal/order',
             body=b'{}',
             headers={'Authorization': f'Bearer key-w{next(numbers)}'},
-            timeout=CALL_TIMEOUT,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
 
     return call
@@ -316,7 +319,7 @@
 
 def _add_agents(site: Site, count: int) -> None:
     numbers = range(len(site.targets), count)
-    with ThreadPoolExecutor(STARTED_AT_ONCE) as pool:
+    with ThreadPoolExecutor(THREADS) as pool:
         list(pool.map(lambda number: _add_agent(site, number), numbers))
     site.wait_ready()
 
@@ -324,7 +327,7 @@
 def _add_agent(site: Site, number: int) -> None:
     name = f'worker-{number}'
     domain = site.plan.domains[number % len(site.plan.domains)]
-    agent = site.start_agent(name, domain, NO_TARGET)
+    agent = site.start_agent(name, domain, UNREACHABLE_ADDRESS)
     target = Target(name, domain, ['acoustics'], agent, agent)
     site.targets[name] = target
     site.put_target(target)
@@ -332,8 +335,8 @@
 
 def _put_entries(site: Site, numbers: Iterable[int]) -> None:
     puts = [_make_put(number) for number in numbers]
-    for start in range(0, len(puts), PUTS_AT_ONCE):
-        site.client.commit([], puts[start : start + PUTS_AT_ONCE])
+    for start in range(0, len(puts), MAX_PUTS_PER_COMMIT):
+        site.client.commit([], puts[start : start + MAX_PUTS_PER_COMMIT])
 
 
 def _make_put(number: int) -> Put:
@@ -348,18 +351,20 @@
     return Put(name_entry(EntryKind.workspace, name), orjson.dumps(entry))
 
 
-def _read_all(programs: Sequence[Program]) -> list[Used]:
-    return [read_used(program) for program in programs]
+def _read_all(programs: Sequence[Program]) -> list[Usage]:
+    return [read_usage(program) for program in programs]
 
 
-def _mean_share(before: Sequence[Used], after: Sequence[Used], elapsed: float) -> float:
+def _mean_share(
+    before: Sequence[Usage], after: Sequence[Usage], elapsed: float
+) -> float:
     spent = sum(one.seconds for one in after) - sum(one.seconds for one in before)
     return round(spent / elapsed / max(1, len(after)), 4)
 
 
-def _mean_resident(used: Sequence[Used]) -> float:
-    whole = sum(one.resident for one in used)
-    return round(whole / max(1, len(used)) / BYTES_A_MEGABYTE, 1)
+def _mean_resident(used: Sequence[Usage]) -> float:
+    whole = sum(one.resident_bytes for one in used)
+    return round(whole / max(1, len(used)) / BYTES_PER_MEGABYTE, 1)
 
 
 def _print_slope(slope: Slope, lines: dict[str, Line]) -> None:
