--- a/packages/bench/src/ibisport_bench/experiments/capacity.py
+++ b/packages/bench/src/ibisport_bench/experiments/capacity.py
@@ -1,8 +1,8 @@
-"""Works docs/CAPACITY.md out from measured slopes at the target's size.
+"""Computes docs/CAPACITY.md: measured slopes extrapolated to the target fleet.
 
-Run by ``python -m ibisport_bench.experiments.capacity``; with ``--check`` it
-only says whether the page is what the committed measurements give. Each figure
-of the page is a field of ``capacity_page.md`` beside this module.
+``python -m ibisport_bench.experiments.capacity write`` writes the page; with
+``--check`` it only checks that the page matches the committed measurements.
+Each figure of the page fills a field of ``capacity_page.md`` beside this module.
 """
 
 import math
@@ -33,9 +33,9 @@
 PAGE = 'docs/CAPACITY.md'
 MILLION = 1_000_000
 MAX_CORE_SHARE = 0.7
-# Below this a level is rounding of the fit.
+# Smaller figures are rounding errors of the fit and are shown as 0.
 MIN_NONZERO = 1e-9
-# What the changes would be: design figures, not measurements.
+# Assumed parameters of the planned design.
 PLANNED_PROCESSES = 3
 LINKS_PER_MODEL = 2
 PLANNED_LINKS = LINKS_PER_MODEL * FLEET.models
@@ -49,12 +49,12 @@
 SHARD_DRAW_SECONDS = 5.0
 REGION_ROUND_TRIP_SECONDS = 0.15
 CLAIM_WINDOW_SECONDS = 0.1
-# As long as the router keeps a claim of an idempotent request.
+# How long the router keeps the claim of an idempotent request.
 CLAIM_LIFETIME_SECONDS = 15 * 60
 SCANS_PER_GRACE = 4
 RENEWALS_PER_LEASE = 4
 PREFIXES_PER_SCAN = 2
-# Session and watch, each after 0.5 to 1 s.
+# A router retries its session and its watch, each after 0.5 to 1 s.
 RETRIES_PER_SECOND = 2 / 0.75
 PLANNED_WRITES = (
     'planned_settle',
@@ -92,13 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurements:
-    """The committed results.
+    """The committed measurements.
 
     Attributes:
-        lines: Line by experiment and level.
-        router_micros: Processor microseconds of a router a chunk.
-        agent_micros: The same of an agent.
-        document: The whole document.
+        lines: Fitted line by experiment and level.
+        router_micros: Processor time of a router per chunk, in microseconds.
+        agent_micros: Processor time of the agents per chunk, in microseconds.
+        document: The complete document.
     """
 
     lines: dict[str, dict[str, Line]]
@@ -108,13 +108,13 @@
 
 
 class Capacity:
-    """Figures at the target, by the name they have on the page."""
+    """Computes the figures of the page for the target fleet."""
 
     def __init__(self, measured: Measurements) -> None:
-        """Keep the measurements.
+        """Compute the process counts that several figures depend on.
 
         Args:
-            measured: The committed results.
+            measured: The committed measurements.
         """
         self._measured = measured
         self._lines = measured.lines
@@ -127,9 +127,9 @@
         self._entries_mb = self._lines['entries']['router_mb'].slope * FLEET.entries
 
     def list_figures(self) -> dict[str, str]:
-        """Return every figure of the page as text."""
-        found: dict[str, float] = {}
-        parts: tuple[Callable[[], dict[str, float]], ...] = (
+        """Return every figure of the page as text, by its name in the template."""
+        figures: dict[str, float] = {}
+        sections: tuple[Callable[[], dict[str, float]], ...] = (
             self._compute_streams,
             self._compute_links,
             self._compute_agent,
@@ -140,11 +140,11 @@
             self._compute_outage,
             self._compute_commands,
         )
-        for part in parts:
-            found |= part()
-        found['planned_store_writes'] = sum(found[name] for name in PLANNED_WRITES)
-        shown = {name: format_figure(level) for name, level in found.items()}
-        return shown | check_limits(found)
+        for compute_section in sections:
+            figures |= compute_section()
+        figures['planned_store_writes'] = sum(figures[name] for name in PLANNED_WRITES)
+        shown = {name: format_figure(figure) for name, figure in figures.items()}
+        return shown | check_limits(figures)
 
     def _compute_streams(self) -> dict[str, float]:
         measured = self._measured
@@ -171,10 +171,10 @@
     def _compute_links(self) -> dict[str, float]:
         core = self._lines['agents']['router_core']
         memory = self._lines['agents']['router_mb']
-        heartbeats = frames.measure_heartbeats()
-        a_second = heartbeats / self._router.heartbeat_every
-        planned = heartbeats / PLANNED_HEARTBEAT_SECONDS
-        pace = self._router.heartbeat_every / PLANNED_HEARTBEAT_SECONDS
+        heartbeat_bytes = frames.measure_heartbeats()
+        bytes_per_second = heartbeat_bytes / self._router.heartbeat_every
+        planned_bytes_per_second = heartbeat_bytes / PLANNED_HEARTBEAT_SECONDS
+        planned_rate_share = self._router.heartbeat_every / PLANNED_HEARTBEAT_SECONDS
         node_links = PLANNED_LINKS * PLANNED_PROCESSES
         return {
             'link_core': core.slope,
@@ -183,21 +183,21 @@
             'link_mb': memory.slope,
             'links_core': core.evaluate(FLEET.workers),
             'links_mb': memory.evaluate(FLEET.workers),
-            'heartbeat_bytes': heartbeats,
-            'links_bytes': a_second * FLEET.workers,
+            'heartbeat_bytes': heartbeat_bytes,
+            'links_bytes': bytes_per_second * FLEET.workers,
             'links_messages': 2 * FLEET.workers / self._router.heartbeat_every,
             'links_fit_core': max(0, (BOUNDS.core - core.base) / core.slope),
             'links_fit_mb': max(0, (BOUNDS.megabytes - memory.base) / memory.slope),
-            'links_fit_bytes': BOUNDS.bytes_per_second / a_second,
+            'links_fit_bytes': BOUNDS.bytes_per_second / bytes_per_second,
             'planned_links': PLANNED_LINKS,
             'planned_heartbeat': PLANNED_HEARTBEAT_SECONDS,
             'planned_node_links': node_links,
             'planned_processes': PLANNED_PROCESSES,
-            'planned_node_core': core.slope * pace * node_links
+            'planned_node_core': core.slope * planned_rate_share * node_links
             + core.base * PLANNED_POLL_SHARE,
             'planned_node_mb': (memory.evaluate(PLANNED_LINKS) + self._entries_mb)
             * PLANNED_PROCESSES,
-            'planned_links_bytes': planned * node_links,
+            'planned_links_bytes': planned_bytes_per_second * node_links,
             'node_base_core': core.base * self._processes,
             'node_base_mb': memory.base * self._processes,
         }
@@ -205,9 +205,9 @@
     def _compute_agent(self) -> dict[str, float]:
         core = self._lines['routers']['agent_core']
         memory = self._lines['routers']['agent_mb']
-        a_second = frames.measure_heartbeats() / self._agent.heartbeat_every
+        bytes_per_second = frames.measure_heartbeats() / self._agent.heartbeat_every
         planned_links = FLEET.nodes * PLANNED_PROCESSES * PLANNED_LINKS
-        routers_planned = planned_links / FLEET.workers
+        planned_routers = planned_links / FLEET.workers
         return {
             'agent_link_core': core.slope,
             'agent_base_core': core.base,
@@ -215,18 +215,18 @@
             'agent_link_mb': memory.slope,
             'agent_core': core.evaluate(self._routers),
             'agent_mb': memory.evaluate(self._routers),
-            'agent_bytes': a_second * self._routers,
-            'agent_links_planned': routers_planned,
-            'agent_planned_core': core.evaluate(routers_planned),
+            'agent_bytes': bytes_per_second * self._routers,
+            'agent_links_planned': planned_routers,
+            'agent_planned_core': core.evaluate(planned_routers),
             'agent_planned_bytes': frames.measure_heartbeats()
             / PLANNED_HEARTBEAT_SECONDS
-            * routers_planned,
+            * planned_routers,
         }
 
     def _compute_catalogue(self) -> dict[str, float]:
         memory = self._lines['entries']['router_mb']
         core = self._lines['changes']['router_core']
-        update = frames.measure_update()
+        update_bytes = frames.measure_update()
         return {
             'entries': FLEET.entries,
             'entry_kb': memory.slope * 1000,
@@ -235,29 +235,33 @@
             'change_core': core.slope,
             'changes_core': core.slope * FLEET.changes,
             'fan_messages': FLEET.changes,
-            'fan_bytes': FLEET.changes * update,
+            'fan_bytes': FLEET.changes * update_bytes,
             'fan_agent_messages': self._routers,
             'model_targets': FLEET.workers / FLEET.models,
             'watches': self._routers,
             'watch_calls': self._routers / SILENCE_LIMIT,
             'watch_events': FLEET.changes * self._routers,
             'watches_planned': WATCHERS_PER_DOMAIN * FLEET.domains,
-            'relay_bytes': FLEET.changes * update,
+            'relay_bytes': FLEET.changes * update_bytes,
             'ask_messages': self._routers / self._router.catalogue_every,
         }
 
     def _compute_sessions(self) -> dict[str, float]:
-        agent = frames.measure_listed_agent()
-        record = agent * FLEET.workers
-        looks = self._routers * SCANS_PER_GRACE / self._router.recover_after
-        keeps = self._routers * RENEWALS_PER_LEASE / self._router.lease_seconds
+        agent_bytes = frames.measure_listed_agent()
+        record_bytes = agent_bytes * FLEET.workers
+        scans_per_second = self._routers * SCANS_PER_GRACE / self._router.recover_after
+        renewals_per_second = (
+            self._routers * RENEWALS_PER_LEASE / self._router.lease_seconds
+        )
         idle = self._lines['routers']
         routers = self._routers
         return {
-            'listed_bytes': agent,
-            'record_bytes': record,
-            'record_most_agents': BOUNDS.value_bytes / agent,
-            'look_reads': looks * PREFIXES_PER_SCAN * math.ceil(routers / PAGE_SIZE),
+            'listed_bytes': agent_bytes,
+            'record_bytes': record_bytes,
+            'record_most_agents': BOUNDS.value_bytes / agent_bytes,
+            'look_reads': scans_per_second
+            * PREFIXES_PER_SCAN
+            * math.ceil(routers / PAGE_SIZE),
             'look_reads_one': FLEET.nodes
             * SCANS_PER_GRACE
             / self._router.recover_after
@@ -265,14 +269,14 @@
             'look_mb_one': FLEET.nodes**2
             * SCANS_PER_GRACE
             / self._router.recover_after
-            * record
+            * record_bytes
             / MILLION,
-            'look_mb': looks * routers * record / MILLION,
-            'keep_reads': keeps,
-            'keep_writes': keeps,
+            'look_mb': scans_per_second * routers * record_bytes / MILLION,
+            'keep_reads': renewals_per_second,
+            'keep_writes': renewals_per_second,
             'idle_reads': idle['reads'].base + idle['reads'].slope,
             'idle_writes': idle['writes'].base + idle['writes'].slope,
-            'planned_record': agent * PLANNED_LINKS,
+            'planned_record': agent_bytes * PLANNED_LINKS,
             'planned_sessions': FLEET.domains,
             'planned_session_reads': FLEET.domains
             * (RENEWALS_PER_LEASE / self._router.lease_seconds)
@@ -286,29 +290,29 @@
         pairs = FLEET.budgets * self._routers
         period = self._router.settle_every
         expected = FLEET.requests * period / pairs
-        touched = pairs * -math.expm1(-expected)
-        floors = frames.measure_floor()
-        rises = FLEET.requests / self._routers
+        used_pairs = pairs * -math.expm1(-expected)
+        floor_bytes = frames.measure_floor()
+        requests_per_router = FLEET.requests / self._routers
         lines = self._lines['budgets']
-        one_key = self._routers / period
+        writes_per_key = self._routers / period
         return {
             'budget_reads': lines['reads'].slope,
             'budget_writes': lines['writes'].slope,
-            'settle_writes': touched / period,
+            'settle_writes': used_pairs / period,
             'ledger_mb': lines['router_mb'].slope,
             'ledgers_mb': lines['router_mb'].slope * FLEET.budgets,
             'workspaces_mb': lines['router_mb'].slope * FLEET.workspaces,
             'charges_mb': lines['agent_mb'].slope,
             'charges_all_mb': lines['agent_mb'].slope * FLEET.budgets,
             'charges_workspaces_mb': lines['agent_mb'].slope * FLEET.workspaces,
-            'busiest_writes': one_key,
+            'busiest_writes': writes_per_key,
             'busiest_serial': 1 / REGION_ROUND_TRIP_SECONDS,
             'busiest_bytes': frames.measure_grant() * self._routers,
             'grant_bytes': frames.measure_grant(),
-            'floor_bytes': floors,
-            'floors_bytes': floors * rises * FLEET.workers,
-            'floors_agent_bytes': floors * FLEET.requests,
-            'floors_whole': floors * FLEET.budgets,
+            'floor_bytes': floor_bytes,
+            'floors_bytes': floor_bytes * requests_per_router * FLEET.workers,
+            'floors_agent_bytes': floor_bytes * FLEET.requests,
+            'floors_whole': floor_bytes * FLEET.budgets,
             'planned_settle': FLEET.domains / PLANNED_SETTLE_SECONDS,
             'planned_draws': SHARDS * FLEET.regions / SHARD_DRAW_SECONDS,
             'planned_busiest': FLEET.regions / SHARD_DRAW_SECONDS,
@@ -350,22 +354,22 @@
 
     def _compute_outage(self) -> dict[str, float]:
         leases = 2 * self._routers
-        pending = FLEET.budgets
-        # As many as requests that the grants in hand can serve.
+        min_pending = FLEET.budgets
+        # One for each request that can be served from grants already held.
         served = FLEET.requests * min(
             self._router.grant_horizon, REGION_HORIZON_SECONDS
         )
-        most = min(FLEET.budgets * self._routers, served)
+        max_pending = min(FLEET.budgets * self._routers, served)
         pages = math.ceil(FLEET.entries / PAGE_SIZE)
-        # The whole catalogue is read only if the store has compacted meanwhile.
+        # Routers only reread the catalogue if the store was compacted meanwhile.
         reads = self._routers * (pages + PREFIXES_PER_SCAN + 1)
         planned = FLEET.domains * 3 + SHARDS * FLEET.regions
         return {
             'back_lease_writes': leases,
-            'back_pending_least': pending,
-            'back_pending_most': most,
-            'back_seconds_least': (leases + pending) / BOUNDS.store_writes,
-            'back_hours_most': (leases + most) / BOUNDS.store_writes / 3600,
+            'back_pending_least': min_pending,
+            'back_pending_most': max_pending,
+            'back_seconds_least': (leases + min_pending) / BOUNDS.store_writes,
+            'back_hours_most': (leases + max_pending) / BOUNDS.store_writes / 3600,
             'back_reads': reads,
             'back_read_seconds': reads / BOUNDS.store_reads,
             'back_retries': self._routers * RETRIES_PER_SECOND,
@@ -390,40 +394,40 @@
         }
 
 
-def check_limits(found: Mapping[str, float]) -> dict[str, str]:
-    """Return ``yes`` or ``no`` for each figure that a bound holds for.
+def check_limits(figures: Mapping[str, float]) -> dict[str, str]:
+    """Return ``yes`` or ``**no**`` for each figure that has a limit.
 
     Args:
-        found: The figures by name.
+        figures: The figures by name.
     """
     return {
-        f'fit_{name}': 'yes' if found[name] <= bound else '**no**'
+        f'fit_{name}': 'yes' if figures[name] <= bound else '**no**'
         for name, bound in LIMITS.items()
     }
 
 
-def format_figure(level: float) -> str:
-    """Return a figure with three digits that count, and thousands apart."""
-    if abs(level) < MIN_NONZERO:
+def format_figure(figure: float) -> str:
+    """Format a figure with three significant digits and thousands separators."""
+    if abs(figure) < MIN_NONZERO:
         return '0'
-    digits = 2 - math.floor(math.log10(abs(level)))
+    digits = 2 - math.floor(math.log10(abs(figure)))
     if digits <= 0:
-        return f'{round(level, digits):,.0f}'
-    return f'{level:.{digits}f}'.rstrip('0').rstrip('.')
+        return f'{round(figure, digits):,.0f}'
+    return f'{figure:.{digits}f}'.rstrip('0').rstrip('.')
 
 
 def load_measured(path: Path = MEASURED) -> Measurements:
-    """Read the committed results.
+    """Read the committed measurements.
 
     Args:
-        path: The document that ``collect`` has written.
+        path: The document that ``collect`` wrote.
     """
     document = orjson.loads(path.read_bytes())
     lines = {
         name: {level: Line(**line) for level, line in slope['lines'].items()}
         for name, slope in document['slopes'].items()
     }
-    routed = [one for one in document['latency'] if one['way'] == 'routed']
+    routed = [latency for latency in document['latency'] if latency['way'] == 'routed']
     busiest = max(routed, key=_read_chunks)
     return Measurements(
         lines, busiest['router_micros'], busiest['agent_micros'], document
@@ -431,37 +435,37 @@
 
 
 def collect(folder: str) -> None:
-    """Gather the results in a folder into the committed document.
+    """Combine the results in a folder into the committed document.
 
     Args:
-        folder: Where slopes, latency and operator_cost have written.
+        folder: Holds the output of slopes, latency and operator_cost.
     """
-    read = {
+    results = {
         name: orjson.loads((Path(folder) / f'{name}.json').read_bytes())
         for name in ('slopes', 'latency', 'operator_cost')
     }
     document = {
-        'commit': read['slopes']['commit'],
-        'machine': read['slopes']['machine'],
-        'slopes': read['slopes']['slopes'],
-        'latency': read['latency']['runs'],
-        'commands': read['operator_cost']['commands'],
+        'commit': results['slopes']['commit'],
+        'machine': results['slopes']['machine'],
+        'slopes': results['slopes']['slopes'],
+        'latency': results['latency']['runs'],
+        'commands': results['operator_cost']['commands'],
     }
     MEASURED.write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2) + b'\n')
 
 
 def render() -> str:
-    """Return the page that the committed results give."""
+    """Return the page computed from the committed measurements."""
     figures = Capacity(load_measured()).list_figures()
     page = TEMPLATE.read_text()
     return page.format(**figures, slope_table=_make_slope_table())
 
 
 def run(check: bool = False, page: str = PAGE) -> None:
-    """Write the page, or check it.
+    """Write the page, or check that it is up to date.
 
     Args:
-        check: Only compare; the exit code is 1 when the page differs.
+        check: Only compare; the exit code is 1 if the page differs.
         page: Path of the page.
     """
     text = render()
@@ -469,12 +473,12 @@
         Path(page).write_text(text)
         return
     if Path(page).read_text() != text:
-        sys.stderr.write(f'{page} is not what the measurements give\n')
+        sys.stderr.write(f'{page} does not match the committed measurements\n')
         sys.exit(1)
 
 
-def _read_chunks(one: dict[str, Any]) -> float:
-    return float(one['chunks_a_second'])
+def _read_chunks(latency: dict[str, Any]) -> float:
+    return float(latency['chunks_a_second'])
 
 
 def _make_slope_table() -> str:
@@ -484,12 +488,13 @@
     for name, slope in document['slopes'].items():
         for level, line in slope['lines'].items():
             points = ', '.join(
-                f'{one["size"]:g}: {one[level]}' for one in slope['costs']
+                f'{cost["size"]:g}: {cost[level]}' for cost in slope['costs']
             )
-            shown = [
-                format_figure(line[part]) for part in ('slope', 'base', 'residual')
+            parameters = [
+                format_figure(line[parameter])
+                for parameter in ('slope', 'base', 'residual')
             ]
-            rows.append(f'| {name} | {level} | {points} | {" | ".join(shown)} |')
+            rows.append(f'| {name} | {level} | {points} | {" | ".join(parameters)} |')
     return '\n'.join(rows)
 
 
--- a/packages/bench/src/ibisport_bench/experiments/capacity_target.py
+++ b/packages/bench/src/ibisport_bench/experiments/capacity_target.py
@@ -1,4 +1,4 @@
-"""The size of letter 1, and the limits that control has to keep."""
+"""Size of the target fleet, and limits on the cost of its control plane."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The target; rates are a second, and counts are of the whole fleet."""
+    """The target fleet; counts are fleet-wide, and rates are per second or per day."""
 
     nodes: int = 330
     workers: int = 12_000
@@ -18,36 +18,45 @@
     models: int = 27
     regions: int = 7
     domains: int = 27
-    changes_a_day: int = 58_000
-    failures_a_day: int = 140
-    restarts_a_day: int = 2_100
+    changes_per_day: int = 58_000
+    failures_per_day: int = 140
+    restarts_per_day: int = 2_100
 
     @property
     def entries(self) -> int:
-        """Entries of the catalogue: workers, workspaces, models."""
+        """Number of catalogue entries: workers, workspaces and models."""
         return self.workers + self.workspaces + self.models
 
     @property
     def changes(self) -> float:
-        """Catalogue changes a second, on average over a day."""
-        return self.changes_a_day / SECONDS_PER_DAY
+        """Catalogue changes per second, averaged over a day."""
+        return self.changes_per_day / SECONDS_PER_DAY
 
     @property
     def agent_events(self) -> float:
-        """Agents a day that end, by failure or restart."""
-        events = self.failures_a_day + self.restarts_a_day
+        """Agents that fail or restart per day."""
+        events = self.failures_per_day + self.restarts_per_day
         return events * self.workers / (self.workers + self.nodes)
 
     @property
     def router_events(self) -> float:
-        """Router hosts a day that end, by failure or restart."""
-        events = self.failures_a_day + self.restarts_a_day
+        """Router hosts that fail or restart per day."""
+        events = self.failures_per_day + self.restarts_per_day
         return events * self.nodes / (self.workers + self.nodes)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What control may cost a node, and what the store serves a second."""
+    """Limits on control cost per node and on store load.
+
+    Attributes:
+        core: Share of one processor core.
+        megabytes: Resident memory.
+        bytes_per_second: Bytes of control messages.
+        store_writes: Writes per second that the store serves.
+        store_reads: Reads per second that the store serves.
+        value_bytes: Size limit of one stored value.
+    """
 
     core: float = 0.03
     megabytes: float = 256
--- a/packages/bench/src/ibisport_bench/experiments/figures.py
+++ b/packages/bench/src/ibisport_bench/experiments/figures.py
@@ -1,4 +1,4 @@
-"""Percentiles and tables of the experiments."""
+"""Percentiles and Markdown tables for the experiments."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,7 +6,7 @@
 
 
 def compute_percentile(samples: Sequence[float], percent: float) -> float:
-    """Return a percentile of the samples; not a number without any."""
+    """Return a percentile of the samples, or NaN if there are none."""
     if not samples:
         return float('nan')
     return float(np.percentile(np.asarray(samples), percent))
@@ -15,7 +15,7 @@
 def print_table(
     title: str, columns: Sequence[str], rows: Iterable[Sequence[str]]
 ) -> None:
-    """Print a table as Markdown."""
+    """Print a Markdown table."""
     print(f'\n{title}\n')
     print('| ' + ' | '.join(columns) + ' |')
     print('|' + ' --- |' * len(columns))
@@ -24,5 +24,5 @@
 
 
 def print_row(row: Sequence[str]) -> None:
-    """Print one row of a table as Markdown, at once."""
+    """Print one Markdown table row and flush the output."""
     print('| ' + ' | '.join(row) + ' |', flush=True)
--- a/packages/bench/src/ibisport_bench/experiments/fit.py
+++ b/packages/bench/src/ibisport_bench/experiments/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
     """A least-squares line.
 
     Attributes:
-        slope: Change of the level a unit.
-        base: Level at zero.
-        residual: Largest distance of a point from the line.
+        slope: Change of the level per unit of size.
+        base: Level at size zero.
+        residual: Largest vertical distance of a point from the line.
     """
 
     slope: float
@@ -21,16 +21,16 @@
     residual: float
 
     def evaluate(self, size: float) -> float:
-        """Return the line's level at a size."""
+        """Return the level of the line at a size."""
         return self.base + self.slope * size
 
 
 def fit_line(sizes: Sequence[float], levels: Sequence[float]) -> Line:
-    """Fit a line to points.
+    """Fit a least-squares line.
 
     Args:
-        sizes: At least two different sizes; shape (points,).
-        levels: The level measured at each; shape (points,).
+        sizes: At least two distinct sizes; shape (points,).
+        levels: The level measured at each size; shape (points,).
     """
     slope, base = np.polyfit(sizes, levels, 1)
     distances = np.abs(np.asarray(levels) - (base + slope * np.asarray(sizes)))
--- a/packages/bench/src/ibisport_bench/experiments/latency.py
+++ b/packages/bench/src/ibisport_bench/experiments/latency.py
@@ -1,11 +1,11 @@
-"""Added latency of the system over its engines, and its cost a chunk.
-
-Run by ``python -m ibisport_bench.experiments.latency``. The same open-loop load
-goes first straight to the stand-in engines and then through one router, in one
-run on one machine. The engines, the agents, the router and the callers share
-the machine's processors, so a count of streams at which they want more than it
-has says what the machine holds and not what a router holds; the columns of
-processor shares show which it is.
+"""Measures the latency added to that of the engines, and the cost per chunk.
+
+Run with ``python -m ibisport_bench.experiments.latency``. The same open-loop load
+is sent first directly to the stand-in engines and then through one router, in one
+run on one machine. The engines, the agents, the router and the callers share the
+processors of that machine. If they need more than it has, the result shows the
+limit of the machine and not of the router; the columns with shares of a core
+tell the two cases apart.
 """
 
 import subprocess
@@ -54,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One load on one way.
+    """Results of one load, sent directly or through the router.
 
     Attributes:
-        streams: Streams that are open at a time, about.
+        streams: Approximate number of concurrent streams.
         way: ``direct`` or ``routed``.
-        times: Percentiles in milliseconds by kind.
-        chunks: Pieces of streamed answers that came.
-        chunks_a_second: The same a second.
-        router_micros: Processor microseconds of the router a chunk.
-        agent_micros: The same of all agents together.
-        router_share: The router's share of one core.
-        agent_share: The busiest agent's.
-        engine_share: The busiest engine's.
-        store_writes: Writes of the router to the store.
-        counts: What the callers counted.
+        times: Percentiles in milliseconds, by kind.
+        chunks: Number of chunks of streamed answers received.
+        chunks_a_second: Chunks received per second.
+        router_micros: Processor time of the router per chunk, in microseconds.
+        agent_micros: Processor time of all agents per chunk, in microseconds.
+        router_share: Share of one core that the router uses.
+        agent_share: Share of one core that the busiest agent uses.
+        engine_share: Share of one core that the busiest engine uses.
+        store_writes: Number of store writes by the router.
+        counts: Sums of the counts of all callers.
     """
 
     streams: int
@@ -86,15 +86,15 @@
 
 
 class LatencyRun:
-    """One site under one count of streams."""
+    """Measures one site at one number of streams."""
 
     def __init__(self, streams: int, token_ms: float, seconds: float) -> None:
         """Prepare a run.
 
         Args:
-            streams: Streams that should be open at a time.
-            token_ms: Milliseconds a token at the engines.
-            seconds: How long requests arrive.
+            streams: Intended number of concurrent streams.
+            token_ms: Milliseconds per token at the engines.
+            seconds: Duration of the load.
         """
         self._streams = streams
         self._token_ms = token_ms
@@ -117,11 +117,13 @@
         )
 
     def measure(self) -> list[Measurement]:
-        """Start the site and measure both ways."""
+        """Start the site; measure it directly and through the router."""
         try:
             start_patiently(self._site)
-            engines = [one.program.address for one in self._site.targets.values()]
-            routers = [one.address for one in self._site.routers]
+            engines = [
+                process.program.address for process in self._site.targets.values()
+            ]
+            routers = [process.address for process in self._site.routers]
             return [self._measure('direct', engines), self._measure('routed', routers)]
         finally:
             self._site.stop()
@@ -130,14 +132,14 @@
         groups = self._list_groups()
         before = [_read_seconds(group) for group in groups]
         writes = self._read_writes()
-        started = time.monotonic()
+        started_at = time.monotonic()
         results = self._run_callers(way, addresses)
-        elapsed = time.monotonic() - started
-        used = [
-            _subtract(_read_seconds(group), first)
-            for first, group in zip(before, groups, strict=True)
+        elapsed = time.monotonic() - started_at
+        used_seconds = [
+            _subtract(_read_seconds(group), earlier)
+            for earlier, group in zip(before, groups, strict=True)
         ]
-        counts = _add_counts([one['counts'] for one in results])
+        counts = _add_counts([result['counts'] for result in results])
         chunks = max(1, counts.get('chunks', 0))
         return Measurement(
             streams=self._streams,
@@ -145,28 +147,30 @@
             times={kind: _add_histograms(results, kind) for kind in TIMED_KINDS},
             chunks=chunks,
             chunks_a_second=round(chunks / elapsed, 1),
-            router_micros=round(sum(used[0]) / chunks * MICROS_PER_SECOND, 1),
-            agent_micros=round(sum(used[1]) / chunks * MICROS_PER_SECOND, 1),
-            router_share=round(max(used[0]) / elapsed, 3),
-            agent_share=round(max(used[1]) / elapsed, 3),
-            engine_share=round(max(used[2]) / elapsed, 3),
+            router_micros=round(sum(used_seconds[0]) / chunks * MICROS_PER_SECOND, 1),
+            agent_micros=round(sum(used_seconds[1]) / chunks * MICROS_PER_SECOND, 1),
+            router_share=round(max(used_seconds[0]) / elapsed, 3),
+            agent_share=round(max(used_seconds[1]) / elapsed, 3),
+            engine_share=round(max(used_seconds[2]) / elapsed, 3),
             store_writes=self._read_writes() - writes,
             counts=counts,
         )
 
     def _read_writes(self) -> int:
-        """Return the writes of the router since its start."""
+        """Return the number of store writes by the router since its start."""
         answer = self._site.http.request('GET', f'{self._site.store.url}/counts')
         clients = orjson.loads(answer.data)['clients']
-        own = [one for name, one in clients.items() if name.startswith('entry-')]
-        return sum(one['writes'] for one in own)
+        router_counts = [
+            counts for name, counts in clients.items() if name.startswith('entry-')
+        ]
+        return sum(counts['writes'] for counts in router_counts)
 
     def _list_groups(self) -> tuple[list[Program], ...]:
         targets = self._site.targets.values()
         return (
             self._site.routers,
-            [one.agent for one in targets],
-            [one.program for one in targets],
+            [target.agent for target in targets],
+            [target.program for target in targets],
         )
 
     def _run_callers(self, way: str, addresses: Sequence[str]) -> list[dict[str, Any]]:
@@ -212,37 +216,37 @@
     seconds: float = 12,
     out: str = 'bench-results',
 ) -> None:
-    """Measure at several counts of open streams and print a table.
+    """Measure at several numbers of concurrent streams and print a table.
 
     Args:
-        streams: Counts of open streams.
-        token_ms: Milliseconds a token at the engines.
-        seconds: How long requests arrive in each run.
-        out: Folder of the result.
+        streams: Numbers of concurrent streams.
+        token_ms: Milliseconds per token at the engines.
+        seconds: Duration of the load in each run.
+        out: Folder for the result.
     """
     print_table('Added latency', COLUMNS, ())
-    measured: list[Measurement] = []
+    measurements: list[Measurement] = []
     for count in _list_counts(streams):
-        for one in LatencyRun(count, token_ms, seconds).measure():
-            measured.append(one)
-            print_row(_make_row(one))
-        # Written after each count, so that what was measured is kept.
-        found = {
+        for measurement in LatencyRun(count, token_ms, seconds).measure():
+            measurements.append(measurement)
+            print_row(_make_row(measurement))
+        # Written after each round, so that a failure loses no earlier results.
+        document = {
             'token_ms': token_ms,
             'tokens': TOKENS_PER_ANSWER,
             'seconds': seconds,
-            'runs': [asdict(one) for one in measured],
+            'runs': [asdict(measurement) for measurement in measurements],
         }
-        write_result(Path(out) / 'latency.json', 1, found)
+        write_result(Path(out) / 'latency.json', 1, document)
 
 
 def _list_counts(streams: Sequence[int] | int) -> Sequence[int]:
-    # Fire gives one number as a number.
+    # Fire passes a single number as an int.
     return (streams,) if isinstance(streams, int) else streams
 
 
 def _subtract(later: Sequence[float], earlier: Sequence[float]) -> list[float]:
-    return [end - start for start, end in zip(earlier, later, strict=True)]
+    return [last - first for first, last in zip(earlier, later, strict=True)]
 
 
 def _read_seconds(programs: Sequence[Program]) -> list[float]:
@@ -250,36 +254,44 @@
 
 
 def _add_histograms(results: Sequence[dict[str, Any]], kind: str) -> dict[str, float]:
-    whole = recording.make_histogram()
+    total = recording.make_histogram()
     for result in results:
         encoded = result['encoded'].get(kind)
         if encoded is not None:
-            whole.add(HdrHistogram.decode(encoded))
-    return recording.summarise(whole)
+            total.add(HdrHistogram.decode(encoded))
+    return recording.summarise(total)
 
 
 def _add_counts(counts: Sequence[dict[str, int]]) -> dict[str, int]:
-    names = {name for one in counts for name in one}
-    return {name: sum(one.get(name, 0) for one in counts) for name in sorted(names)}
-
-
-def _make_row(one: Measurement) -> Sequence[str]:
-    wrong = one.counts['arrivals'] - one.counts.get('verdict.whole', 0)
-    shares = (one.router_share, one.agent_share, one.engine_share)
+    names = {name for group in counts for name in group}
+    return {name: sum(group.get(name, 0) for group in counts) for name in sorted(names)}
+
+
+def _make_row(measurement: Measurement) -> Sequence[str]:
+    not_whole = measurement.counts['arrivals'] - measurement.counts.get(
+        'verdict.whole', 0
+    )
+    shares = (
+        measurement.router_share,
+        measurement.agent_share,
+        measurement.engine_share,
+    )
     return [
-        str(one.streams),
-        one.way,
-        *[_show_percentiles(one.times[kind]) for kind in TIMED_KINDS],
-        f'{one.chunks_a_second:.0f}',
-        f'{one.router_micros:.0f}/{one.agent_micros:.0f}',
+        str(measurement.streams),
+        measurement.way,
+        *[_show_percentiles(measurement.times[kind]) for kind in TIMED_KINDS],
+        f'{measurement.chunks_a_second:.0f}',
+        f'{measurement.router_micros:.0f}/{measurement.agent_micros:.0f}',
         '/'.join(f'{share:.2f}' for share in shares),
-        str(one.counts.get('answered', 0)),
-        str(wrong),
+        str(measurement.counts.get('answered', 0)),
+        str(not_whole),
     ]
 
 
-def _show_percentiles(found: dict[str, float]) -> str:
-    return '/'.join(f'{found[f"p{percent}"]:.1f}' for percent in recording.PERCENTS)
+def _show_percentiles(percentiles: dict[str, float]) -> str:
+    return '/'.join(
+        f'{percentiles[f"p{percent}"]:.1f}' for percent in recording.PERCENTS
+    )
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/experiments/operator_cost.py
+++ b/packages/bench/src/ibisport_bench/experiments/operator_cost.py
@@ -1,6 +1,6 @@
-"""Store calls of operators' commands, counted by the store's stand-in.
+"""Counts the store calls of operators' commands with the store stand-in.
 
-Run by ``python -m ibisport_bench.experiments.operator_cost``.
+Run with ``python -m ibisport_bench.experiments.operator_cost``.
 """
 
 import tempfile
@@ -19,10 +19,10 @@
 
 
 def run(out: str = 'bench-results') -> None:
-    """Count the calls of each command and write ``operator_cost.json``.
+    """Count the store calls of each command and write ``operator_cost.json``.
 
     Args:
-        out: Folder of the result.
+        out: Folder for the result.
     """
     plan = SitePlan(
         engines=1,
@@ -33,13 +33,15 @@
     site = Site(plan, Path(tempfile.mkdtemp(prefix='ibisport-operator-')))
     try:
         site.start()
-        found = {name: _count_calls(site, act) for name, act in _list_commands(site)}
+        results = {
+            name: _count_calls(site, command) for name, command in _list_commands(site)
+        }
     finally:
         site.stop()
-    write_result(Path(out) / 'operator_cost.json', 1, {'commands': found})
+    write_result(Path(out) / 'operator_cost.json', 1, {'commands': results})
     rows = [
         [name, str(calls['reads']), str(calls['writes'])]
-        for name, calls in found.items()
+        for name, calls in results.items()
     ]
     print_table('Store calls of commands', ('command', 'reads', 'writes'), rows)
 
@@ -61,12 +63,12 @@
     return [('catalogue put', put), ('target drain', drain), ('budget top-up', top_up)]
 
 
-def _count_calls(site: Site, act: Callable[[], object]) -> dict[str, int]:
+def _count_calls(site: Site, command: Callable[[], object]) -> dict[str, int]:
     site.http.request('POST', f'{site.store.url}/reset_counts')
-    act()
+    command()
     answer = site.http.request('GET', f'{site.store.url}/counts')
-    own = orjson.loads(answer.data)['clients']['operators']
-    return {kind: own[kind] for kind in ('reads', 'writes')}
+    counts = orjson.loads(answer.data)['clients']['operators']
+    return {kind: counts[kind] for kind in ('reads', 'writes')}
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/experiments/plots.py
+++ b/packages/bench/src/ibisport_bench/experiments/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the results in a folder: ``python -m ibisport_bench.experiments.plots``."""
+"""Plots results: ``python -m ibisport_bench.experiments.plots``."""
 
 from pathlib import Path
 from typing import Any
@@ -15,17 +15,17 @@
 
 
 def run(folder: str = 'bench-results') -> None:
-    """Plot what ``slopes.json`` and ``latency.json`` hold.
+    """Plot the results in ``slopes.json`` and ``latency.json``.
 
     Args:
-        folder: Where the results are, and the plots go.
+        folder: Holds the results; the plots are written there too.
     """
-    place = Path(folder)
-    slopes = orjson.loads((place / 'slopes.json').read_bytes())['slopes']
+    path = Path(folder)
+    slopes = orjson.loads((path / 'slopes.json').read_bytes())['slopes']
     for name, slope in slopes.items():
-        _plot_slope(place / f'slope-{name}.png', name, slope)
-    runs = orjson.loads((place / 'latency.json').read_bytes())['runs']
-    _plot_latency(place / 'latency.png', runs)
+        _plot_slope(path / f'slope-{name}.png', name, slope)
+    runs = orjson.loads((path / 'latency.json').read_bytes())['runs']
+    _plot_latency(path / 'latency.png', runs)
 
 
 def _plot_slope(path: Path, name: str, slope: dict[str, Any]) -> None:
@@ -41,18 +41,20 @@
 def _plot_latency(path: Path, runs: list[dict[str, Any]]) -> None:
     figure, axes = plt.subplots()
     for way in ('direct', 'routed'):
-        chosen = [one for one in runs if one['way'] == way]
-        streams = [one['streams'] for one in chosen]
-        for kind in chosen[0]['times']:
-            levels = [one['times'][kind][PERCENTILE] for one in chosen]
+        results = [result for result in runs if result['way'] == way]
+        streams = [result['streams'] for result in results]
+        for kind in results[0]['times']:
+            levels = [result['times'][kind][PERCENTILE] for result in results]
             axes.plot(streams, levels, 'o-', label=f'{way} {kind} {PERCENTILE}')
     axes.set_yscale('log')
     _save_figure(figure, axes, path, 'open streams', 'milliseconds')
 
 
-def _save_figure(figure: Any, axes: Any, path: Path, across: str, up: str) -> None:
-    axes.set_xlabel(across)
-    axes.set_ylabel(up)
+def _save_figure(
+    figure: Any, axes: Any, path: Path, x_label: str, y_label: str
+) -> None:
+    axes.set_xlabel(x_label)
+    axes.set_ylabel(y_label)
     axes.legend()
     figure.savefig(path)
     plt.close(figure)
--- a/packages/bench/src/ibisport_bench/experiments/processes.py
+++ b/packages/bench/src/ibisport_bench/experiments/processes.py
@@ -1,4 +1,4 @@
-"""Reads what processes have used, from the system's own accounts."""
+"""Reads processor time and memory of processes from ``/proc``."""
 
 import os
 from dataclasses import dataclass
@@ -6,6 +6,7 @@
 
 from ibisport_bench.launcher import Program
 
+# Indexes into /proc/PID/stat after the command name, and into /proc/PID/statm.
 _USER_FIELD = 11
 _SYSTEM_FIELD = 12
 _PAGES_FIELD = 1
@@ -13,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What one process has used so far.
+    """Processor time and memory of one process.
 
     Attributes:
-        seconds: Processor seconds, user and system.
-        resident: Resident bytes.
+        seconds: Processor time since the start, user and system.
+        resident_bytes: Resident memory.
     """
 
     seconds: float
@@ -25,7 +26,7 @@
 
 
 def read_usage(program: Program) -> Usage:
-    """Return what a running program has used."""
+    """Return the processor time and memory of a running program."""
     folder = Path('/proc') / str(program.process.pid)
     fields = (folder / 'stat').read_text().rpartition(')')[2].split()
     ticks = int(fields[_USER_FIELD]) + int(fields[_SYSTEM_FIELD])
--- a/packages/bench/src/ibisport_bench/experiments/regression.py
+++ b/packages/bench/src/ibisport_bench/experiments/regression.py
@@ -1,8 +1,9 @@
-"""Compares a short run to committed bounds: ``make bench-check``.
+"""Compares a short benchmark run with committed bounds: ``make bench-check``.
 
-Processor times are divided by the time of a fixed loop on the same machine in
-the same run, so the bounds are ratios that hold on other machines too; the rest
-are counts. A breach ends with exit code 1 and is named.
+Processor times are divided by the time of a fixed loop, measured on the same
+machine in the same run, so their bounds are ratios that also hold on other
+machines. The other figures are counts. Each breach is reported on standard error,
+and the exit code is then 1.
 """
 
 import sys
@@ -34,16 +35,18 @@
 _MODULUS = 1009
 
 
-def list_breaches(found: Mapping[str, float], bounds: Mapping[str, float]) -> list[str]:
-    """Return a line for each bound that is missed or not measured.
+def list_breaches(
+    figures: Mapping[str, float], bounds: Mapping[str, float]
+) -> list[str]:
+    """Return a line for each figure that exceeds its bound or was not measured.
 
     Args:
-        found: Figures by name.
-        bounds: The highest figure allowed, by name.
+        figures: Figures by name.
+        bounds: Highest allowed figure, by name.
     """
     breaches = []
     for name, bound in bounds.items():
-        figure = found.get(name)
+        figure = figures.get(name)
         if figure is None:
             breaches.append(f'{name}: not measured, bound {bound:g}')
         elif figure > bound:
@@ -52,17 +55,17 @@
 
 
 def measure_codec(unit: float) -> dict[str, float]:
-    """Return the cost of encoding and decoding a chunk, in units."""
+    """Return the processor time of encoding and of decoding a chunk, in units."""
     chunk = Chunk(b'x' * REQUEST_ID_BYTES, 1, len(CHUNK_DATA), CHUNK_DATA)
-    wire = encode_message(chunk)
+    encoded = encode_message(chunk)
     return {
         'chunk_encode': _time_calls(lambda: encode_message(chunk)) / unit,
-        'chunk_decode': _time_calls(lambda: decode_message(wire)) / unit,
+        'chunk_decode': _time_calls(lambda: decode_message(encoded)) / unit,
     }
 
 
 def measure_unit() -> float:
-    """Return the processor seconds of a hundred turns of a fixed loop."""
+    """Return the processor seconds of a hundred iterations of a fixed loop."""
     times = timeit.repeat(
         _run_fixed_loop, number=1, repeat=REPEATS, timer=time.process_time
     )
@@ -70,28 +73,28 @@
 
 
 def measure_site(unit: float) -> dict[str, float]:
-    """Return the figures of a small site, in units and counts."""
-    run = LatencyRun(STREAMS, TOKEN_MS, LOAD_SECONDS)
-    routed = next(one for one in run.measure() if one.way == 'routed')
+    """Return the figures of a small site; processor times are in units."""
+    latency_run = LatencyRun(STREAMS, TOKEN_MS, LOAD_SECONDS)
+    routed = next(result for result in latency_run.measure() if result.way == 'routed')
     return _compute_figures(routed, unit)
 
 
 def run(out: str = 'bench-results') -> None:
-    """Measure, print, and fail on a breach.
+    """Measure, print the figures, and exit with code 1 on a breach.
 
     Args:
-        out: Folder of the result.
+        out: Folder for the result.
     """
     unit = measure_unit()
-    found = measure_codec(unit) | measure_site(unit)
+    figures = measure_codec(unit) | measure_site(unit)
     bounds: dict[str, float] = orjson.loads(BOUNDS.read_bytes())
-    write_result(Path(out) / 'regression.json', 1, {'unit': unit, 'found': found})
+    write_result(Path(out) / 'regression.json', 1, {'unit': unit, 'found': figures})
     rows = [
-        [name, f'{found.get(name, 0):.3g}', f'{bound:g}']
+        [name, f'{figures.get(name, 0):.3g}', f'{bound:g}']
         for name, bound in bounds.items()
     ]
     print_table('Regression', ('figure', 'measured', 'bound'), rows)
-    breaches = list_breaches(found, bounds)
+    breaches = list_breaches(figures, bounds)
     for breach in breaches:
         sys.stderr.write(f'breach of {breach}\n')
     if breaches:
--- a/packages/bench/src/ibisport_bench/experiments/slopes.py
+++ b/packages/bench/src/ibisport_bench/experiments/slopes.py
@@ -1,10 +1,10 @@
-"""Control cost of routers and agents against the size of the site.
+"""Measures the control cost of routers and agents by the size of the site.
 
-Run by ``python -m ibisport_bench.experiments.slopes``. The real programs run
-against the store's stand-in; agents that only cost control have no target.
-Sizes grow in one site, so that a point takes seconds. Bytes are not read from
-the system, which counts them for the whole machine: the capacity script takes
-them from the size of encoded frames.
+Run with ``python -m ibisport_bench.experiments.slopes``. The real programs run
+against the store stand-in; agents that only cause control traffic have no target.
+An experiment grows one site through all its sizes, so that each point takes only
+seconds. Network bytes aren't read from the system, because it counts them for the
+whole machine: the capacity script computes them from the size of encoded frames.
 """
 
 import itertools
@@ -49,16 +49,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What control costs at one size; processes of a role are averaged.
+    """Control cost at one size, averaged over the processes of a role.
 
     Attributes:
-        size: The size that is varied.
-        router_core: Share of one core of a router.
+        size: The size or rate that is varied.
+        router_core: Share of one core that a router uses.
         router_mb: Resident megabytes of a router.
-        agent_core: Share of one core of an agent.
+        agent_core: Share of one core that an agent uses.
         agent_mb: Resident megabytes of an agent.
-        reads: Store reads a second of a router.
-        writes: Store writes a second of a router.
+        reads: Store reads per second per router.
+        writes: Store writes per second per router.
     """
 
     size: float
@@ -75,12 +75,12 @@
 
 @dataclass(slots=True)
 class Slope:
-    """Costs at several sizes.
+    """Control costs at several sizes.
 
     Attributes:
         name: What is varied.
-        held: What is held, in words.
-        costs: The points.
+        held: Description of what is held constant.
+        costs: The measured points.
     """
 
     name: str
@@ -88,7 +88,7 @@
     costs: list[Cost] = field(default_factory=list)
 
     def fit(self) -> dict[str, Line]:
-        """Return the line of each level."""
+        """Return a fitted line for each level."""
         sizes = [cost.size for cost in self.costs]
         return {
             level: fit_line(sizes, [getattr(cost, level) for cost in self.costs])
@@ -97,29 +97,29 @@
 
 
 class Meter:
-    """Measures a site over some seconds."""
+    """Measures the control cost of a running site."""
 
     def __init__(self, site: Site, seconds: float) -> None:
-        """Keep what is measured.
+        """Create a meter.
 
         Args:
             site: The running site.
-            seconds: How long each point is measured.
+            seconds: Measuring time per point.
         """
         self._site = site
         self._seconds = seconds
 
     def measure(self, size: float) -> Cost:
-        """Measure one point after it has settled."""
+        """Wait for the site to settle, then measure one point."""
         time.sleep(SETTLE_SECONDS)
         site = self._site
         agents = [target.agent for target in site.targets.values()]
         site.http.request('POST', f'{site.store.url}/reset_counts', timeout=5)
         before = (_read_all(site.routers), _read_all(agents))
-        started = time.monotonic()
+        started_at = time.monotonic()
         time.sleep(self._seconds)
         after = (_read_all(site.routers), _read_all(agents))
-        elapsed = time.monotonic() - started
+        elapsed = time.monotonic() - started_at
         reads, writes = self._read_counts()
         routers = len(site.routers)
         return Cost(
@@ -133,15 +133,19 @@
         )
 
     def _read_counts(self) -> tuple[int, int]:
-        """Return the reads and writes of all routers since the reset."""
+        """Return the store reads and writes of all routers since the reset."""
         answer = self._site.http.request('GET', f'{self._site.store.url}/counts')
         clients = orjson.loads(answer.data)['clients']
-        own = [one for name, one in clients.items() if name.startswith('entry-')]
-        return sum(one['reads'] for one in own), sum(one['writes'] for one in own)
+        router_counts = [
+            counts for name, counts in clients.items() if name.startswith('entry-')
+        ]
+        return sum(counts['reads'] for counts in router_counts), sum(
+            counts['writes'] for counts in router_counts
+        )
 
 
 def measure_agents(seconds: float) -> Slope:
-    """Vary the agents before two routers."""
+    """Vary the number of agents with two routers."""
     slope = Slope('agents', '2 routers, idle')
     with _RunningSite(routers=2) as site:
         for count in AGENT_COUNTS:
@@ -151,7 +155,7 @@
 
 
 def measure_routers(seconds: float) -> Slope:
-    """Vary the routers before eight agents."""
+    """Vary the number of routers with eight agents."""
     slope = Slope('routers', '8 agents, idle')
     with _RunningSite(routers=1) as site:
         _add_agents(site, AGENT_COUNTS[0])
@@ -164,7 +168,7 @@
 
 
 def measure_budgets(seconds: float) -> Slope:
-    """Vary the budgets that are drawn on, each by a call every two seconds."""
+    """Vary the number of budgets in use, each by one call every two seconds."""
     slope = Slope('budgets', '1 router, 1 plain service, a call each 2 s a budget')
     workspaces = tuple(
         WorkspacePlan(f'w{number}', BUDGET_TOKENS)
@@ -180,7 +184,7 @@
 
 
 def measure_entries(seconds: float) -> Slope:
-    """Vary the catalogue's entries."""
+    """Vary the number of catalogue entries."""
     slope = Slope('entries', '2 routers, 8 agents, idle')
     with _RunningSite(routers=2) as site:
         _add_agents(site, AGENT_COUNTS[0])
@@ -193,7 +197,7 @@
 
 
 def measure_changes(seconds: float) -> Slope:
-    """Vary the changes a second of a catalogue of a thousand entries."""
+    """Vary the changes per second in a catalogue of a thousand entries."""
     slope = Slope('changes', '2 routers, 8 agents, 1,000 entries')
     with _RunningSite(routers=2) as site:
         _add_agents(site, AGENT_COUNTS[0])
@@ -225,31 +229,31 @@
     seconds: float = 8,
     out: str = 'bench-results',
 ) -> None:
-    """Measure slopes, print points and lines, and write ``slopes.json``.
+    """Run experiments, print points and lines, and write ``slopes.json``.
 
     Args:
-        names: Which of the experiments.
-        seconds: How long each point is measured.
-        out: Folder of the result.
+        names: Names of the experiments to run.
+        seconds: Measuring time per point.
+        out: Folder for the result.
     """
     path = Path(out) / 'slopes.json'
-    # Experiments that are not run again keep what they gave.
-    found = orjson.loads(path.read_bytes())['slopes'] if path.exists() else {}
+    # Experiments that are not run again keep their earlier results.
+    results = orjson.loads(path.read_bytes())['slopes'] if path.exists() else {}
     for name in (names,) if isinstance(names, str) else names:
         slope = EXPERIMENTS[name](seconds)
         lines = slope.fit()
         _print_slope(slope, lines)
-        found[name] = {
+        results[name] = {
             'held': slope.held,
             'costs': [asdict(cost) for cost in slope.costs],
             'lines': {level: asdict(line) for level, line in lines.items()},
         }
-        # Written after each, so that what was measured is kept on a failure.
-        write_result(path, 1, {'slopes': found})
+        # Written after each experiment, so that a failure loses no earlier results.
+        write_result(path, 1, {'slopes': results})
 
 
 class _RunningSite:
-    """A site without engines, for the time of one experiment."""
+    """Context manager for a site without engines."""
 
     def __init__(
         self,
@@ -263,7 +267,7 @@
                 services=services,
                 routers=routers,
                 workspaces=workspaces,
-                # The limits of the platform's service are not in question.
+                # The rate limits of the platform's store are not measured here.
                 store_flags={'writes-per-second': 0, 'reads-per-second': 0},
             ),
             Path(tempfile.mkdtemp(prefix='ibisport-slopes-')),
@@ -278,7 +282,7 @@
 
 
 class _PeriodicCalls:
-    """Does something at a fixed rate in threads, for the time of one point."""
+    """Context manager that runs an action at a fixed rate in a thread pool."""
 
     def __init__(self, action: Callable[[], object], rate: float) -> None:
         self._action = action
@@ -295,10 +299,10 @@
 
     def _run(self) -> None:
         with ThreadPoolExecutor(THREADS) as pool:
-            due = time.monotonic()
-            while not self._stopped.wait(max(0, due - time.monotonic())):
+            next_at = time.monotonic()
+            while not self._stopped.wait(max(0, next_at - time.monotonic())):
                 pool.submit(self._action)
-                due += 1 / self._rate
+                next_at += 1 / self._rate
 
 
 def _make_calls(site: Site, count: int) -> Callable[[], object]:
@@ -358,13 +362,15 @@
 def _mean_share(
     before: Sequence[Usage], after: Sequence[Usage], elapsed: float
 ) -> float:
-    spent = sum(one.seconds for one in after) - sum(one.seconds for one in before)
-    return round(spent / elapsed / max(1, len(after)), 4)
+    seconds = sum(usage.seconds for usage in after) - sum(
+        usage.seconds for usage in before
+    )
+    return round(seconds / elapsed / max(1, len(after)), 4)
 
 
-def _mean_resident(used: Sequence[Usage]) -> float:
-    whole = sum(one.resident_bytes for one in used)
-    return round(whole / max(1, len(used)) / BYTES_PER_MEGABYTE, 1)
+def _mean_resident(usages: Sequence[Usage]) -> float:
+    total_bytes = sum(usage.resident_bytes for usage in usages)
+    return round(total_bytes / max(1, len(usages)) / BYTES_PER_MEGABYTE, 1)
 
 
 def _print_slope(slope: Slope, lines: dict[str, Line]) -> None:
--- a/packages/bench/src/ibisport_bench/experiments/timeline.py
+++ b/packages/bench/src/ibisport_bench/experiments/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time: actions run in the order of their times, nothing sleeps."""
+"""Virtual time: runs scheduled actions in time order without sleeping."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class Timeline:
-    """A clock that jumps from action to action.
+    """A virtual clock that advances to the time of each action.
 
     Attributes:
         now: Virtual time in seconds.
@@ -20,15 +20,15 @@
         self._actions: list[tuple[float, int, Action]] = []
 
     def read(self) -> float:
-        """Return the virtual time, for code that takes a clock."""
+        """Return the virtual time; can be passed as a clock function."""
         return self.now
 
     def schedule(self, at: float, action: Action) -> None:
-        """Run an action at a virtual time; those of one time run in order."""
+        """Schedule an action; actions at the same time run in the order scheduled."""
         heapq.heappush(self._actions, (at, next(self._numbers), action))
 
     def run(self) -> None:
-        """Run all actions, also those that are scheduled meanwhile."""
+        """Run all actions, including those scheduled while running."""
         while self._actions:
             self.now, _, action = heapq.heappop(self._actions)
             action()
