--- a/packages/bench/src/ibisport_bench/experiments/capacity.py
+++ b/packages/bench/src/ibisport_bench/experiments/capacity.py
@@ -172,7 +172,7 @@
         core = self._lines['agents']['router_core']
         memory = self._lines['agents']['router_mb']
         heartbeat_bytes = frames.measure_heartbeats()
-        bytes_per_second = heartbeat_bytes / self._router.heartbeat_every
+        link_bytes_per_second = heartbeat_bytes / self._router.heartbeat_every
         planned_bytes_per_second = heartbeat_bytes / PLANNED_HEARTBEAT_SECONDS
         planned_rate_share = self._router.heartbeat_every / PLANNED_HEARTBEAT_SECONDS
         node_links = PLANNED_LINKS * PLANNED_PROCESSES
@@ -184,11 +184,11 @@
             'links_core': core.evaluate(FLEET.workers),
             'links_mb': memory.evaluate(FLEET.workers),
             'heartbeat_bytes': heartbeat_bytes,
-            'links_bytes': bytes_per_second * FLEET.workers,
+            'links_bytes': link_bytes_per_second * FLEET.workers,
             'links_messages': 2 * FLEET.workers / self._router.heartbeat_every,
             'links_fit_core': max(0, (BOUNDS.core - core.base) / core.slope),
             'links_fit_mb': max(0, (BOUNDS.megabytes - memory.base) / memory.slope),
-            'links_fit_bytes': BOUNDS.bytes_per_second / bytes_per_second,
+            'links_fit_bytes': BOUNDS.bytes_per_second / link_bytes_per_second,
             'planned_links': PLANNED_LINKS,
             'planned_heartbeat': PLANNED_HEARTBEAT_SECONDS,
             'planned_node_links': node_links,
--- a/packages/bench/src/ibisport_bench/experiments/latency.py
+++ b/packages/bench/src/ibisport_bench/experiments/latency.py
@@ -263,8 +263,11 @@
 
 
 def _add_counts(counts: Sequence[dict[str, int]]) -> dict[str, int]:
-    names = {name for group in counts for name in group}
-    return {name: sum(group.get(name, 0) for group in counts) for name in sorted(names)}
+    names = {name for caller_counts in counts for name in caller_counts}
+    return {
+        name: sum(caller_counts.get(name, 0) for caller_counts in counts)
+        for name in sorted(names)
+    }
 
 
 def _make_row(measurement: Measurement) -> Sequence[str]:
--- a/packages/bench/src/ibisport_bench/experiments/slopes.py
+++ b/packages/bench/src/ibisport_bench/experiments/slopes.py
@@ -362,10 +362,10 @@
 def _mean_share(
     before: Sequence[Usage], after: Sequence[Usage], elapsed: float
 ) -> float:
-    seconds = sum(usage.seconds for usage in after) - sum(
+    used_seconds = sum(usage.seconds for usage in after) - sum(
         usage.seconds for usage in before
     )
-    return round(seconds / elapsed / max(1, len(after)), 4)
+    return round(used_seconds / elapsed / max(1, len(after)), 4)
 
 
 def _mean_resident(usages: Sequence[Usage]) -> float:
