--- a/packages/bench/src/ibisport_bench/standins/engine/answers.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/answers.py
@@ -29,7 +29,7 @@
     for index in indexes:
         piece = _make_chunk(form, run, _make_word(run, index), None)
         yield _encode_event(piece)
-    last = _make_chunk(form, run, '', _name_reason(run))
+    last = _make_chunk(form, run, '', _get_finish_reason(run))
     last['usage'] = run.describe_usage()
     yield _encode_event(last)
     yield DONE
@@ -38,7 +38,7 @@
 def make_answer(form: Form, run: Run, indexes: Iterable[int]) -> Fields:
     """Return a whole answer, when all of its tokens are ready."""
     text = ''.join(_make_word(run, index) for index in indexes)
-    reason = _name_reason(run)
+    reason = _get_finish_reason(run)
     match form:
         case TextForm():
             name = 'text_completion'
@@ -47,7 +47,7 @@
             name = 'chat.completion'
             choice = {'message': {'role': 'assistant', 'content': text}}
     choice.update({'index': 0, 'finish_reason': reason})
-    return {**_make_head(run, name, choice), 'usage': run.describe_usage()}
+    return {**_make_response(run, name, choice), 'usage': run.describe_usage()}
 
 
 def _make_chunk(form: Form, run: Run, text: str, reason: str | None) -> Fields:
@@ -59,10 +59,10 @@
             choice = {'delta': {'content': text}}
             name = 'chat.completion.chunk'
     choice.update({'index': 0, 'finish_reason': reason})
-    return _make_head(run, name, choice)
+    return _make_response(run, name, choice)
 
 
-def _make_head(run: Run, name: str, choice: Fields) -> Fields:
+def _make_response(run: Run, name: str, choice: Fields) -> Fields:
     return {
         'id': run.request_id or run.prompt.digest,
         'object': name,
@@ -77,7 +77,7 @@
     return f'{space}{run.prompt.digest}-{index}'
 
 
-def _name_reason(run: Run) -> str:
+def _get_finish_reason(run: Run) -> str:
     return 'abort' if run.cancelled else 'stop'
 
 
--- a/packages/bench/src/ibisport_bench/standins/engine/api.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/api.py
@@ -12,7 +12,7 @@
     make_answer,
     stream_answer,
 )
-from ibisport_bench.standins.engine.batch import MS, Batch
+from ibisport_bench.standins.engine.batch import MS_PER_SECOND, Batch
 from ibisport_bench.standins.engine.load import LoadReport
 from ibisport_bench.standins.engine.messages import (
     CacheImport,
@@ -48,7 +48,7 @@
         self._settings = settings
         self._batch = Batch(settings)
         self._orders = OrderBook(settings.models, settings.check_fencing)
-        self._load = LoadReport(self._batch, settings.load_lag_ms / MS)
+        self._load = LoadReport(self._batch, settings.load_lag_ms / MS_PER_SECOND)
         self._load.start()
         self._routes = {
             '/v1/completions': self._complete,
@@ -83,7 +83,7 @@
     ) -> Answer | Stream:
         if not self._orders.serves(request.model):
             raise CallRejected('no such model', HTTPStatus.NOT_FOUND, NOT_FOUND)
-        if self._batch.fails():
+        if self._batch.draw_failure():
             raise CallRejected('failed', HTTPStatus.INTERNAL_SERVER_ERROR, INTERNAL)
         run = Run(
             request_id=call.get_header('X-Request-Id'),
@@ -124,7 +124,7 @@
 
     def _serve_orders(self, call: Call) -> Answer:
         if call.method == 'POST':
-            self._orders.carry_out(_validate(Order, call))
+            self._orders.execute(_validate(Order, call))
         return answer_json(self._orders.list_orders())
 
     def _show_models(self, call: Call) -> Answer:
--- a/packages/bench/src/ibisport_bench/standins/engine/batch.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/batch.py
@@ -14,8 +14,8 @@
 from ibisport_bench.standins.errors import ConnectionDropped
 from ibisport_bench.standins.web import Call, pause_while
 
-WAIT_STEP = 0.1
-MS = 1000
+POLL_INTERVAL_SECONDS = 0.1
+MS_PER_SECOND = 1000
 
 
 class Batch:
@@ -33,7 +33,7 @@
         self.faults = EngineFaults()
         self.cache = PrefixCache(
             settings.cache_tokens,
-            settings.event_lag_ms / MS,
+            settings.event_lag_ms / MS_PER_SECOND,
             settings.event_loss,
             settings.seed,
         )
@@ -41,12 +41,12 @@
         self.emitted = 0
         self._random = random.Random(settings.seed)
         self._changed = threading.Condition()
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._waiting: list[tuple[int, int, Run]] = []
         self._running: set[Run] = set()
         self._prefilled_at = 0.0
 
-    def fails(self) -> bool:
+    def draw_failure(self) -> bool:
         """Draw whether the next request fails before it runs."""
         with self._changed:
             return self._random.random() < self.faults.fail_rate
@@ -58,11 +58,11 @@
             ConnectionDropped: The client left, or the answer is to break.
         """
         try:
-            self._enter(call, run)
+            self._admit(call, run)
             self._prefill(call, run)
             yield from self._decode(call, run)
         finally:
-            self._leave(run)
+            self._release(run)
 
     def cancel(self, request_id: str) -> int:
         """Stop all runs of a request and return how many there were."""
@@ -83,7 +83,7 @@
         with self._changed:
             return len(self._running), len(self._waiting)
 
-    def take_break(self) -> int | None:
+    def consume_break(self) -> int | None:
         """Return after how many tokens this answer breaks, if it does."""
         with self._changed:
             break_after = self.faults.break_after_tokens
@@ -93,8 +93,8 @@
                 )
             return break_after
 
-    def _enter(self, call: Call, run: Run) -> None:
-        place = (run.priority, next(self._numbers), run)
+    def _admit(self, call: Call, run: Run) -> None:
+        place = (run.priority, next(self._sequence), run)
         with self._changed:
             heapq.heappush(self._waiting, place)
             try:
@@ -103,7 +103,7 @@
                 self._waiting.remove(place)
                 heapq.heapify(self._waiting)
             if not run.cancelled:
-                run.start()
+                run.record_start()
                 self.runs.append(run)
                 self._running.add(run)
             self._changed.notify_all()
@@ -113,11 +113,11 @@
         while len(self._running) >= slots or self._waiting[0] is not place:
             if place[-1].cancelled:
                 return
-            self._changed.wait(WAIT_STEP)
+            self._changed.wait(POLL_INTERVAL_SECONDS)
             if call.is_abandoned():
                 raise ConnectionDropped('client left')
 
-    def _leave(self, run: Run) -> None:
+    def _release(self, run: Run) -> None:
         with self._changed:
             run.cancelled = not run.finished
             self._running.discard(run)
@@ -126,7 +126,7 @@
     def _prefill(self, call: Call, run: Run) -> None:
         if run.cancelled:
             return
-        cached = self.cache.use(run.prompt.text)
+        cached = self.cache.add_prompt(run.prompt.text)
         uncached = max(0, run.prompt.tokens - cached)
         work = uncached / self._settings.prefill_tokens_per_second
         with self._changed:
@@ -136,12 +136,12 @@
         self._wait_until(call, ready_at)
 
     def _decode(self, call: Call, run: Run) -> Iterator[int]:
-        break_after = self.take_break()
+        break_after = self.consume_break()
         ready_at = time.monotonic()
         for index in range(run.prompt.answer_tokens):
             if index == break_after:
                 raise ConnectionDropped('answer broken')
-            step = self._settings.token_ms / MS * self.faults.slow_factor
+            step = self._settings.token_ms / MS_PER_SECOND * self.faults.slow_factor
             # A late thread catches up; after a freeze the pace starts anew.
             ready_at = max(ready_at, time.monotonic() - step) + step
             self._wait_until(call, ready_at)
--- a/packages/bench/src/ibisport_bench/standins/engine/load.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/load.py
@@ -7,7 +7,7 @@
 
 from ibisport_bench.standins.engine.batch import Batch
 
-SAMPLE_INTERVAL = 0.05
+SAMPLE_INTERVAL_SECONDS = 0.05
 RATE_SAMPLES = 20
 
 
@@ -37,12 +37,12 @@
         """Set the lag in seconds."""
         self._batch = batch
         self._lag = lag
-        most = int(lag / SAMPLE_INTERVAL) + 2 * RATE_SAMPLES
+        most = int(lag / SAMPLE_INTERVAL_SECONDS) + 2 * RATE_SAMPLES
         self._samples = deque([self._sample()], most)
 
     def start(self) -> None:
         """Start to sample."""
-        threading.Thread(target=self._take_samples, daemon=True).start()
+        threading.Thread(target=self._sample_periodically, daemon=True).start()
 
     def describe(self) -> dict[str, float]:
         """Return the load as it was one lag ago."""
@@ -51,7 +51,7 @@
         seen = [one for one in samples if one.taken_at <= seen_until] or [samples[0]]
         shown = seen[-1]
         first = seen[-min(len(seen), RATE_SAMPLES)]
-        seconds = max(shown.taken_at - first.taken_at, SAMPLE_INTERVAL)
+        seconds = max(shown.taken_at - first.taken_at, SAMPLE_INTERVAL_SECONDS)
         return {
             'running': shown.running,
             'waiting': shown.waiting,
@@ -59,9 +59,9 @@
             'tokens_per_second': (shown.emitted - first.emitted) / seconds,
         }
 
-    def _take_samples(self) -> None:
+    def _sample_periodically(self) -> None:
         while True:
-            time.sleep(SAMPLE_INTERVAL)
+            time.sleep(SAMPLE_INTERVAL_SECONDS)
             self._samples.append(self._sample())
 
     def _sample(self) -> Load:
--- a/packages/bench/src/ibisport_bench/standins/engine/messages.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/messages.py
@@ -9,7 +9,7 @@
 DEFAULT_ANSWER_TOKENS = 16
 TOKENS_PER_MESSAGE = 4
 HASH_DIGITS = 8
-LENGTH_WORD = 'answer_tokens='
+ANSWER_TOKENS_PREFIX = 'answer_tokens='
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,8 +120,11 @@
     words = text.split()
     wanted = DEFAULT_ANSWER_TOKENS
     for word in words:
-        if word.startswith(LENGTH_WORD) and word[len(LENGTH_WORD) :].isdigit():
-            wanted = int(word[len(LENGTH_WORD) :])
+        if (
+            word.startswith(ANSWER_TOKENS_PREFIX)
+            and word[len(ANSWER_TOKENS_PREFIX) :].isdigit()
+        ):
+            wanted = int(word[len(ANSWER_TOKENS_PREFIX) :])
     if max_tokens is not None:
         wanted = min(wanted, max_tokens)
     return Prompt(text, len(words) + extra, wanted)
--- a/packages/bench/src/ibisport_bench/standins/engine/orders.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/orders.py
@@ -18,24 +18,24 @@
         self._serves_any = not models
         self._check_fencing = check_fencing
         self._lock = threading.Lock()
-        self._highest = 0
-        self._done: list[Order] = []
+        self._max_fence = 0
+        self._executed: list[Order] = []
 
-    def carry_out(self, order: Order) -> None:
+    def execute(self, order: Order) -> None:
         """Carry an order out.
 
         Raises:
             CallRejected: Its fencing number is old, and numbers are checked.
         """
         with self._lock:
-            if self._check_fencing and order.fencing_number < self._highest:
+            if self._check_fencing and order.fencing_number < self._max_fence:
                 raise CallRejected(
-                    f'fencing number {order.fencing_number} < {self._highest}',
+                    f'fencing number {order.fencing_number} < {self._max_fence}',
                     HTTPStatus.CONFLICT,
                     ABORTED,
                 )
-            self._highest = max(self._highest, order.fencing_number)
-            self._done.append(order)
+            self._max_fence = max(self._max_fence, order.fencing_number)
+            self._executed.append(order)
             if order.kind is not OrderKind.set_role:
                 self._models.append(order.argument)
 
@@ -49,4 +49,4 @@
 
     def list_orders(self) -> list[dict[str, object]]:
         """Return the orders carried out, oldest first."""
-        return [order.model_dump() for order in self._done]
+        return [order.model_dump() for order in self._executed]
--- a/packages/bench/src/ibisport_bench/standins/engine/prefix_cache.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/prefix_cache.py
@@ -62,16 +62,16 @@
             event_loss: Share of events that are lost.
             seed: Seed of the losses.
         """
-        self._most_blocks = most_tokens // BLOCK_WORDS
+        self._max_blocks = most_tokens // BLOCK_WORDS
         self._event_lag = event_lag
         self._event_loss = event_loss
         self._random = random.Random(seed)
         self._lock = threading.Lock()
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self._events: list[CacheEvent] = []
-        self._number = 0
+        self._last_number = 0
 
-    def use(self, text: str) -> int:
+    def add_prompt(self, text: str) -> int:
         """Take a prompt in and return how many of its tokens were cached."""
         blocks = hash_blocks(text)
         with self._lock:
@@ -79,7 +79,7 @@
             while cached < len(blocks) and blocks[cached] in self._blocks:
                 cached += 1
             # The head is touched last: no block outlives the one it needs.
-            head = blocks[: self._most_blocks]
+            head = blocks[: self._max_blocks]
             self._store(list(reversed(head)))
         return cached * BLOCK_WORDS
 
@@ -113,13 +113,13 @@
                 self._blocks[block] = None
                 self._record(STORED, block)
             self._blocks.move_to_end(block)
-        while len(self._blocks) > self._most_blocks:
+        while len(self._blocks) > self._max_blocks:
             evicted, _ = self._blocks.popitem(last=False)
             self._record(EVICTED, evicted)
 
     def _record(self, kind: str, block: str) -> None:
-        self._number += 1
+        self._last_number += 1
         if self._random.random() < self._event_loss:
             return
         visible_at = time.monotonic() + self._event_lag
-        self._events.append(CacheEvent(self._number, kind, block, visible_at))
+        self._events.append(CacheEvent(self._last_number, kind, block, visible_at))
--- a/packages/bench/src/ibisport_bench/standins/engine/run.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/run.py
@@ -7,7 +7,7 @@
 
 from ibisport_bench.standins.engine.messages import Prompt
 
-HEAD_LENGTH = 80
+PROMPT_HEAD_CHARACTERS = 80
 
 
 @dataclass(slots=True, eq=False)
@@ -34,7 +34,7 @@
     cancelled: bool = False
     started_at: float | None = field(default=None)
 
-    def start(self) -> None:
+    def record_start(self) -> None:
         """Note the time of the first step."""
         self.started_at = time.time()
 
@@ -45,7 +45,7 @@
             'request_id': self.request_id,
             'model': self.model,
             'prompt_hash': hashlib.sha256(text.encode()).hexdigest(),
-            'prompt_head': text[:HEAD_LENGTH],
+            'prompt_head': text[:PROMPT_HEAD_CHARACTERS],
             'prompt_tokens': self.prompt.tokens,
             'completion_tokens': self.completion_tokens,
             'finished': self.finished,
--- a/packages/bench/src/ibisport_bench/standins/hosts.py
+++ b/packages/bench/src/ibisport_bench/standins/hosts.py
@@ -10,7 +10,7 @@
 from ibisport_bench.standins.errors import CallRejected
 from ibisport_bench.standins.web import Answer, Call, Server, answer_json, run_server
 
-MS = 1000
+MS_PER_SECOND = 1000
 
 
 class HostState(StrEnum):
@@ -42,7 +42,7 @@
 
     def __init__(self, lag_ms: float) -> None:
         """Start without hosts; the lag is in milliseconds."""
-        self._lag = lag_ms / MS
+        self._lag = lag_ms / MS_PER_SECOND
         self._lock = threading.Lock()
         self._changes: list[tuple[float, HostEntry]] = []
 
@@ -52,7 +52,7 @@
             raise CallRejected('no such path', HTTPStatus.NOT_FOUND, 5)
         if call.method == 'POST':
             self._change(_read_entries(call))
-        return answer_json(self._list_shown())
+        return answer_json(self._list_visible())
 
     def _change(self, entries: list[HostEntry]) -> None:
         shown_at = time.monotonic() + self._lag
@@ -61,7 +61,7 @@
                 entry.seen_at = time.time()
                 self._changes.append((shown_at, entry))
 
-    def _list_shown(self) -> list[dict[str, object]]:
+    def _list_visible(self) -> list[dict[str, object]]:
         now = time.monotonic()
         with self._lock:
             shown = {
--- a/packages/bench/src/ibisport_bench/standins/memorystore.py
+++ b/packages/bench/src/ibisport_bench/standins/memorystore.py
@@ -25,10 +25,10 @@
 )
 
 ANSWER_SECONDS = 0.004
-SILENCE_SECONDS = 0.9
+CALL_TIMEOUT_SECONDS = 0.9
 # After so long without an answer the shipped caller tries a second way.
-PATIENCE_SECONDS = 0.1
-LONGEST_DELAY_S = 6.0
+FALLBACK_DELAY_SECONDS = 0.1
+MAX_WRITE_DELAY_SECONDS = 6.0
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
         faults: What goes wrong now.
         items: The keys.
         revision: Of the newest write.
-        first_kept: The history before this revision is dropped.
+        compacted_revision: The history before this revision is dropped.
         history: All changes.
         calls: Ways to and from the store, all callers together.
         random: Draws the faults.
@@ -74,14 +74,14 @@
         self.faults = Faults()
         self.items: dict[str, Item] = {}
         self.revision = 1
-        self.first_kept = 0
+        self.compacted_revision = 0
         self.history: list[Change] = []
         self.calls = 0
         self.random = random.Random(seed)
         self.links: dict[str, float] = {}
-        self._leases: dict[int, float] = {}
-        self._terms: dict[int, float] = {}
-        self._leased: dict[str, int] = {}
+        self._lease_deadlines: dict[int, float] = {}
+        self._lease_seconds: dict[int, float] = {}
+        self._lease_by_key: dict[str, int] = {}
         self._changed = asyncio.Event()
 
     def open_store(self, caller: str) -> 'MemoryStore':
@@ -92,56 +92,56 @@
         """Write one key without a condition, as operators and targets do."""
         self.revision += 1
         self._set(Put(key, content, lease))
-        self._tell()
+        self._notify_watches()
 
     def remove(self, key: str) -> None:
         """Remove one key."""
         self.revision += 1
         self.items.pop(key, None)
         self.history.append(Removal(key, self.revision))
-        self._tell()
+        self._notify_watches()
 
     def forget_history(self) -> None:
         """Drop the history; a watch from before is refused."""
-        self.first_kept = self.revision
+        self.compacted_revision = self.revision
 
     def grant(self, seconds: float) -> int:
         """Return a new lease."""
-        lease = len(self._leases) + 1
-        self._leases[lease] = asyncio.get_running_loop().time() + seconds
-        self._terms[lease] = seconds
+        lease = len(self._lease_deadlines) + 1
+        self._lease_deadlines[lease] = asyncio.get_running_loop().time() + seconds
+        self._lease_seconds[lease] = seconds
         return lease
 
     def renew(self, lease: int) -> bool:
         """Let a lease last as long again; False if it has ended."""
         now = asyncio.get_running_loop().time()
-        if self._leases.get(lease, 0.0) <= now:
+        if self._lease_deadlines.get(lease, 0.0) <= now:
             return False
-        self._leases[lease] = now + self._terms[lease]
+        self._lease_deadlines[lease] = now + self._lease_seconds[lease]
         return True
 
     def end(self, lease: int) -> None:
         """End a lease, and remove its keys."""
-        self._leases[lease] = asyncio.get_running_loop().time()
-        self.lapse()
+        self._lease_deadlines[lease] = asyncio.get_running_loop().time()
+        self.expire_keys()
 
     def end_leases(self) -> None:
         """Let all leases run out now."""
-        self._leases = dict.fromkeys(self._leases, 0.0)
+        self._lease_deadlines = dict.fromkeys(self._lease_deadlines, 0.0)
 
-    def lapse(self) -> None:
+    def expire_keys(self) -> None:
         """Remove the keys whose leases have run out; none does in an outage."""
         now = asyncio.get_running_loop().time()
-        for key, lease in tuple(self._leased.items()):
-            if lease and self._leases[lease] <= now and not self.faults.down:
-                self._leased.pop(key)
+        for key, lease in tuple(self._lease_by_key.items()):
+            if lease and self._lease_deadlines[lease] <= now and not self.faults.down:
+                self._lease_by_key.pop(key)
                 self.remove(key)
 
     def commit(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> Written | Conflict:
         """Write all keys if all conditions hold."""
-        self.lapse()
+        self.expire_keys()
         for condition in conditions:
             item = self.items.get(condition.key)
             if (item.revision if item else 0) != condition.revision:
@@ -153,7 +153,7 @@
         self.revision += 1
         for put in puts:
             self._set(put)
-        self._tell()
+        self._notify_watches()
         return Written(self.revision)
 
     async def wait_for_change(self, after: int, wait: float) -> None:
@@ -169,10 +169,10 @@
 
     def _set(self, put: Put) -> None:
         self.items[put.key] = Item(put.key, put.content, self.revision)
-        self._leased[put.key] = put.lease
+        self._lease_by_key[put.key] = put.lease
         self.history.append(self.items[put.key])
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
@@ -186,28 +186,28 @@
 
     async def read(self, key: str) -> Item | None:
         """Return one key, or None if there is none."""
-        await self._travel()
-        self._service.lapse()
+        await self._send_one_way()
+        self._service.expire_keys()
         return self._service.items.get(key)
 
     async def scan(
         self, prefix: str, *, stale: bool = False, shared: bool = False
     ) -> Listing:
         """Return all keys of a prefix; none is stale here."""
-        await self._travel()
-        self._service.lapse()
+        await self._send_one_way()
+        self._service.expire_keys()
         items = [
             item for key, item in self._service.items.items() if key.startswith(prefix)
         ]
         # What changes while the answer is on its way is not in it.
         revision = self._service.revision
-        await self._carry(items)
+        await self._transfer_items(items)
         return Listing(tuple(items), revision)
 
     async def watch(self, prefix: str, after: int, terms: WatchOptions) -> WatchResult:
         """Return what changed after a revision."""
-        await self._travel()
-        if after < self._service.first_kept:
+        await self._send_one_way()
+        if after < self._service.compacted_revision:
             raise HistoryLost(prefix)
         await self._service.wait_for_change(after, terms.wait)
         changes = tuple(
@@ -216,12 +216,12 @@
             if one.revision > after and one.key.startswith(prefix)
         )
         revision = self._service.revision
-        await self._travel()
+        await self._send_one_way()
         written = [one for one in changes if isinstance(one, Item)]
         size = sum(len(one.content) for one in written)
         if terms.max_bytes and size > terms.max_bytes:
             raise ChangesTooLong(prefix)
-        await self._carry(written)
+        await self._transfer_items(written)
         return WatchResult(changes, revision)
 
     async def write(
@@ -230,52 +230,52 @@
         """Write all keys if all conditions hold, with the faults of the time."""
         service = self._service
         try:
-            await self._travel(puts)
+            await self._send_one_way(puts)
         except asyncio.CancelledError:
             # The caller died; its call is on its way all the same.
-            delay = service.random.uniform(0.0, LONGEST_DELAY_S)
+            delay = service.random.uniform(0.0, MAX_WRITE_DELAY_SECONDS)
             loop = asyncio.get_running_loop()
             loop.call_later(delay, service.commit, list(conditions), list(puts))
             raise
         if service.random.random() < service.faults.late:
-            delay = service.random.uniform(1.0, LONGEST_DELAY_S)
+            delay = service.random.uniform(1.0, MAX_WRITE_DELAY_SECONDS)
             loop = asyncio.get_running_loop()
             loop.call_later(delay, service.commit, list(conditions), list(puts))
-            await self._stay_silent()
+            await self._time_out()
         outcome = service.commit(conditions, puts)
         if service.random.random() < service.faults.lose:
             if not service.faults.second_way:
-                await self._stay_silent()
-            await asyncio.sleep(PATIENCE_SECONDS)
+                await self._time_out()
+            await asyncio.sleep(FALLBACK_DELAY_SECONDS)
             outcome = service.commit(conditions, puts)
-        await self._travel(outcome.items if isinstance(outcome, Conflict) else ())
+        await self._send_one_way(outcome.items if isinstance(outcome, Conflict) else ())
         return outcome
 
     async def grant_lease(self, seconds: float) -> tuple[int, float]:
         """Return a new lease and how long it lasts."""
-        await self._travel()
+        await self._send_one_way()
         lease = self._service.grant(seconds)
-        await self._travel()
+        await self._send_one_way()
         return lease, seconds
 
     async def renew_lease(self, lease: int) -> bool:
         """Let a lease last as long again."""
-        await self._travel()
+        await self._send_one_way()
         renewed = self._service.renew(lease)
-        await self._travel()
+        await self._send_one_way()
         return renewed
 
     async def end_lease(self, lease: int) -> None:
         """End a lease, and with it its keys."""
-        await self._travel()
+        await self._send_one_way()
         self._service.end(lease)
-        await self._travel()
+        await self._send_one_way()
 
     async def probe(self) -> bool:
         """Whether the service answers."""
         return not self._service.faults.down
 
-    async def _travel(self, carried: Iterable[Item | Put] = ()) -> None:
+    async def _send_one_way(self, carried: Iterable[Item | Put] = ()) -> None:
         faults = self._service.faults
         self._service.calls += 1
         seconds = ANSWER_SECONDS / 2 * faults.slow
@@ -284,16 +284,16 @@
             seconds += sum(len(one.content) for one in carried) / link
         await asyncio.sleep(seconds)
         if self._caller in faults.cut:
-            await self._stay_silent()
+            await self._time_out()
         if faults.down:
             raise StoreUnavailable('the store is down')
 
-    async def _carry(self, items: Sequence[Item]) -> None:
+    async def _transfer_items(self, items: Sequence[Item]) -> None:
         """Let an answer take as long as its size does."""
         rate = self._service.faults.bytes_per_second
         if rate:
             await asyncio.sleep(sum(len(item.content) for item in items) / rate)
 
-    async def _stay_silent(self) -> None:
-        await asyncio.sleep(SILENCE_SECONDS)
+    async def _time_out(self) -> None:
+        await asyncio.sleep(CALL_TIMEOUT_SECONDS)
         raise StoreUnknown('no answer')
--- a/packages/bench/src/ibisport_bench/standins/service.py
+++ b/packages/bench/src/ibisport_bench/standins/service.py
@@ -19,7 +19,7 @@
     run_server,
 )
 
-MS = 1000
+MS_PER_SECOND = 1000
 
 
 class ServiceFaults(BaseModel):
@@ -62,13 +62,13 @@
         if call.path in self._controls:
             return self._controls[call.path](call)
         pause_while(self._is_frozen, call)
-        self._fail_by_chance()
+        self._fail_randomly()
         with self._free:
             return self._work(call)
 
     def _work(self, call: Call) -> Answer:
         number = self._record(call)
-        time.sleep(self._work_ms / MS)
+        time.sleep(self._work_ms / MS_PER_SECOND)
         with self._lock:
             self._running -= 1
             broken = self._faults.break_before_answer > 0
@@ -104,7 +104,7 @@
             self._by_content[f'{call.path} {body_hash}'] += 1
             return len(self._runs)
 
-    def _fail_by_chance(self) -> None:
+    def _fail_randomly(self) -> None:
         with self._lock:
             failed = self._random.random() < self._faults.fail_rate
         if failed:
--- a/packages/bench/src/ibisport_bench/standins/store/__main__.py
+++ b/packages/bench/src/ibisport_bench/standins/store/__main__.py
@@ -21,7 +21,7 @@
         threads: Connections served at once, waiting watches included.
     """
     api = StoreApi(writes_per_second, reads_per_second, progress_seconds)
-    api.leases.start_clock()
+    api.leases.start_expiry()
     return Server(api, port, threads)
 
 
--- a/packages/bench/src/ibisport_bench/standins/store/api.py
+++ b/packages/bench/src/ibisport_bench/standins/store/api.py
@@ -13,7 +13,7 @@
 from ibisport_bench.standins.store.faults import FaultControl
 from ibisport_bench.standins.store.lease_calls import LeaseCalls
 from ibisport_bench.standins.store.leases import Leases
-from ibisport_bench.standins.store.limits import Counts, Rate
+from ibisport_bench.standins.store.limits import Counts, RateLimiter
 from ibisport_bench.standins.store.messages import (
     CompactionRequest,
     DeleteRangeRequest,
@@ -21,10 +21,10 @@
     RangeRequest,
     TxnRequest,
     WatchRequest,
-    read_message,
+    decode_message,
 )
 from ibisport_bench.standins.store.operations import Operations
-from ibisport_bench.standins.store.watching import Watching
+from ibisport_bench.standins.store.watch_streams import WatchStreams
 from ibisport_bench.standins.web import (
     Answer,
     Call,
@@ -62,10 +62,13 @@
         self._operations = Operations(self.database, self.leases)
         self._control = FaultControl()
         self._counts = Counts()
-        self._watching = Watching(
+        self._watching = WatchStreams(
             self.database, self._control, self._counts, progress_seconds
         )
-        self._rates = {WRITES: Rate(writes_per_second), READS: Rate(reads_per_second)}
+        self._rates = {
+            WRITES: RateLimiter(writes_per_second),
+            READS: RateLimiter(reads_per_second),
+        }
         self._controls = Controls(
             self.database, self.leases, self._control, self._counts
         )
@@ -77,12 +80,12 @@
         if call.path in self._controls.routes:
             return self._controls.routes[call.path](call)
         label = call.get_header(LABEL_HEADER)
-        self._control.meet(label)
+        self._control.apply_before_call(label)
         route = self._routes.get(call.path)
         if route is None:
             raise CallRejected('Not Found', 404, 5)
-        kind = _sort_call(call, route)
-        self._counts.add(label, kind)
+        kind = _classify_call(call, route)
+        self._counts.count_call(label, kind)
         self._rates[kind].wait()
         return route.serve(call)
 
@@ -103,41 +106,43 @@
         }
 
     def _read(self, call: Call) -> Answer:
-        return answer_json(self._operations.read(read_message(RangeRequest, call)))
+        return answer_json(self._operations.read(decode_message(RangeRequest, call)))
 
     def _put(self, call: Call) -> Answer:
-        return self._answer_write(self._operations.put(read_message(PutRequest, call)))
+        return self._answer_write(
+            self._operations.put(decode_message(PutRequest, call))
+        )
 
     def _delete(self, call: Call) -> Answer:
-        answer = self._operations.delete(read_message(DeleteRangeRequest, call))
+        answer = self._operations.delete(decode_message(DeleteRangeRequest, call))
         if 'deleted' in answer:
             return self._answer_write(answer)
         return answer_json(answer)
 
     def _transact(self, call: Call) -> Answer:
-        answer = self._operations.transact(read_message(TxnRequest, call))
+        answer = self._operations.transact(decode_message(TxnRequest, call))
         wrote = any('response_range' not in one for one in answer.get('responses', ()))
         return self._answer_write(answer) if wrote else answer_json(answer)
 
     def _compact(self, call: Call) -> Answer:
         with self.database.lock:
-            self.database.compact(read_message(CompactionRequest, call).revision)
+            self.database.compact(decode_message(CompactionRequest, call).revision)
         return answer_json(self._add_header({}))
 
     def _watch(self, call: Call) -> Stream:
-        request = read_message(WatchRequest, call).create_request
+        request = decode_message(WatchRequest, call).create_request
         label = call.get_header(LABEL_HEADER)
         return Stream(self._watching.stream(call, request, label))
 
     def _answer_write(self, answer: Fields) -> Answer:
-        self._control.lose_answer()
+        self._control.apply_after_write()
         return answer_json(answer)
 
     def _add_header(self, fields: Fields) -> Fields:
         return {'header': encode_header(self.database.revision), **fields}
 
 
-def _sort_call(call: Call, route: Route) -> str:
-    if call.path == '/v3/kv/txn' and not read_message(TxnRequest, call).writes():
+def _classify_call(call: Call, route: Route) -> str:
+    if call.path == '/v3/kv/txn' and not decode_message(TxnRequest, call).writes():
         return READS
     return route.kind
--- a/packages/bench/src/ibisport_bench/standins/store/controls.py
+++ b/packages/bench/src/ibisport_bench/standins/store/controls.py
@@ -43,10 +43,10 @@
 
     def _serve_faults(self, call: Call) -> Answer:
         if call.method == 'POST':
-            self._order_faults(read_json(call))
+            self._apply_faults(read_json(call))
         return answer_json(self._control.faults.model_dump())
 
-    def _order_faults(self, fields: dict[str, Any]) -> None:
+    def _apply_faults(self, fields: dict[str, Any]) -> None:
         cut = fields.pop('cut_watches', False)
         expired = str(fields.pop('expire_lease', ''))
         try:
@@ -57,9 +57,9 @@
             with self._database.lock:
                 self._database.cut_watches()
         if expired:
-            self._expire(expired)
+            self._expire_leases(expired)
 
-    def _expire(self, expired: str) -> None:
+    def _expire_leases(self, expired: str) -> None:
         if expired == ALL_LEASES:
             self._leases.expire()
         elif expired.isdigit():
--- a/packages/bench/src/ibisport_bench/standins/store/database.py
+++ b/packages/bench/src/ibisport_bench/standins/store/database.py
@@ -23,7 +23,7 @@
         batches: Changes by revision; None ends the watch.
     """
 
-    wanted: KeyRange
+    key_range: KeyRange
     start_revision: int
     batches: queue.SimpleQueue[Batch | None] = field(default_factory=queue.SimpleQueue)
 
@@ -109,7 +109,7 @@
         self.revision += 1
         self.changes.extend(batch)
         for watch in self._watches:
-            self._offer(watch, batch)
+            self._notify_watch(watch, batch)
         return True
 
     def compact(self, revision: int) -> None:
@@ -132,7 +132,7 @@
         """Register a watch and replay what it has missed."""
         if watch.start_revision <= self.revision:
             for batch in self._split_history(watch.start_revision):
-                self._offer(watch, batch)
+                self._notify_watch(watch, batch)
         self._watches.add(watch)
 
     def remove_watch(self, watch: Watch) -> None:
@@ -144,10 +144,10 @@
         for watch in self._watches:
             watch.batches.put(None)
 
-    def _offer(self, watch: Watch, batch: Batch) -> None:
+    def _notify_watch(self, watch: Watch, batch: Batch) -> None:
         if batch[0].pair.mod_revision < watch.start_revision:
             return
-        seen = tuple(one for one in batch if watch.wanted.covers(one.pair.key))
+        seen = tuple(one for one in batch if watch.key_range.covers(one.pair.key))
         if seen:
             watch.batches.put(seen)
 
--- a/packages/bench/src/ibisport_bench/standins/store/faults.py
+++ b/packages/bench/src/ibisport_bench/standins/store/faults.py
@@ -52,11 +52,11 @@
                 self._random = random.Random(self.faults.seed)
             return self.faults
 
-    def cuts_off(self, label: str) -> bool:
+    def is_partitioned(self, label: str) -> bool:
         """Tell whether the client is on the other side of a partition."""
         return label in (self.faults.only_sources or ())
 
-    def meet(self, label: str) -> None:
+    def apply_before_call(self, label: str) -> None:
         """Apply the faults that strike before a call.
 
         Raises:
@@ -64,14 +64,14 @@
             CallRejected: The store refuses.
         """
         faults = self.faults
-        if faults.down or self.cuts_off(label):
+        if faults.down or self.is_partitioned(label):
             raise ConnectionDropped('down')
         if faults.refuse:
             raise CallRejected('etcdserver: no leader', 503, 14)
         if faults.slow_ms:
             time.sleep(faults.slow_ms / 1000)
 
-    def lose_answer(self) -> None:
+    def apply_after_write(self) -> None:
         """Apply the faults that strike after a committed write.
 
         Raises:
--- a/packages/bench/src/ibisport_bench/standins/store/lease_calls.py
+++ b/packages/bench/src/ibisport_bench/standins/store/lease_calls.py
@@ -10,7 +10,7 @@
     encode_header,
 )
 from ibisport_bench.standins.store.leases import Leases
-from ibisport_bench.standins.store.messages import LeaseRequest, read_message
+from ibisport_bench.standins.store.messages import LeaseRequest, decode_message
 from ibisport_bench.standins.web import Answer, Call, answer_json
 
 
@@ -24,18 +24,18 @@
 
     def grant(self, call: Call) -> Answer:
         """Serve LeaseGrant."""
-        request = read_message(LeaseRequest, call)
+        request = decode_message(LeaseRequest, call)
         lease = self._leases.grant(request.ttl, request.lease_id)
         return self._answer({'ID': str(lease.lease_id), 'TTL': str(lease.granted_ttl)})
 
     def revoke(self, call: Call) -> Answer:
         """Serve LeaseRevoke."""
-        self._leases.revoke(read_message(LeaseRequest, call).lease_id)
+        self._leases.revoke(decode_message(LeaseRequest, call).lease_id)
         return self._answer({})
 
     def keep_alive(self, call: Call) -> Answer:
         """Serve one LeaseKeepAlive; a lease that is gone shows no TTL."""
-        request = read_message(LeaseRequest, call)
+        request = decode_message(LeaseRequest, call)
         lease = self._leases.renew(request.lease_id)
         ttl = lease.granted_ttl if lease else 0
         shown = drop_empty({'ID': str(request.lease_id), 'TTL': str(ttl)})
@@ -43,7 +43,7 @@
 
     def show(self, call: Call) -> Answer:
         """Serve LeaseTimeToLive; a lease that is gone shows a TTL of -1."""
-        request = read_message(LeaseRequest, call)
+        request = decode_message(LeaseRequest, call)
         with self._database.lock:
             lease = self._leases.find(request.lease_id)
             keys = self._leases.list_keys(request.lease_id)
--- a/packages/bench/src/ibisport_bench/standins/store/leases.py
+++ b/packages/bench/src/ibisport_bench/standins/store/leases.py
@@ -8,7 +8,7 @@
 from ibisport_bench.standins.store.database import Database
 from ibisport_bench.standins.store.records import KeyRange, Lease
 
-CHECK_INTERVAL = 0.02
+EXPIRY_CHECK_INTERVAL_SECONDS = 0.02
 ID_BITS = 62
 
 
@@ -62,7 +62,7 @@
             CallRejected: It does not.
         """
         if lease_id and lease_id not in self._leases:
-            raise _report_missing()
+            raise _make_not_found_error()
 
     def bind(self, key: bytes, before: int, after: int) -> None:
         """Move a key from one lease to another; 0 stands for none."""
@@ -79,7 +79,7 @@
         """
         with self._database.lock:
             if self._leases.pop(lease_id, None) is None:
-                raise _report_missing()
+                raise _make_not_found_error()
             for key in sorted(self._keys.pop(lease_id)):
                 self._database.delete(KeyRange(key))
             self._database.commit()
@@ -91,16 +91,16 @@
                 if lease_id in {None, known}:
                     self.revoke(known)
 
-    def start_clock(self) -> None:
+    def start_expiry(self) -> None:
         """Start the thread that ends leases at their deadlines."""
-        threading.Thread(target=self._end_overdue, daemon=True).start()
+        threading.Thread(target=self._expire_periodically, daemon=True).start()
 
-    def _end_overdue(self) -> None:
+    def _expire_periodically(self) -> None:
         while True:
-            time.sleep(CHECK_INTERVAL)
-            self._end_until(time.monotonic())
+            time.sleep(EXPIRY_CHECK_INTERVAL_SECONDS)
+            self._expire_overdue(time.monotonic())
 
-    def _end_until(self, now: float) -> None:
+    def _expire_overdue(self, now: float) -> None:
         with self._database.lock:
             leases = tuple(self._leases.values())
             for lease in leases:
@@ -108,5 +108,5 @@
                     self.revoke(lease.lease_id)
 
 
-def _report_missing() -> CallRejected:
+def _make_not_found_error() -> CallRejected:
     return CallRejected('etcdserver: requested lease not found', 404, 5)
--- a/packages/bench/src/ibisport_bench/standins/store/limits.py
+++ b/packages/bench/src/ibisport_bench/standins/store/limits.py
@@ -6,11 +6,11 @@
 
 from ibisport_bench.standins.errors import CallRejected
 
-MOST_WAIT = 1
-BURST_SHARE = 0.1
+MAX_WAIT_SECONDS = 1
+BURST_SECONDS = 0.1
 
 
-class Rate:
+class RateLimiter:
     """A token bucket in which calls wait their turn."""
 
     def __init__(self, per_second: float) -> None:
@@ -32,8 +32,8 @@
     def _reserve(self) -> float:
         with self._lock:
             now = time.monotonic()
-            turn = max(self._next_at, now - BURST_SHARE)
-            if turn - now > MOST_WAIT:
+            turn = max(self._next_at, now - BURST_SECONDS)
+            if turn - now > MAX_WAIT_SECONDS:
                 raise CallRejected('etcdserver: too many requests', 503, 8)
             self._next_at = turn + self._interval
             return turn - now
@@ -48,12 +48,12 @@
         self._counts: dict[str, Counter[str]] = {}
         self._open = Counter[str]()
 
-    def add(self, label: str, kind: str) -> None:
+    def count_call(self, label: str, kind: str) -> None:
         """Count a call of the kind ``reads`` or ``writes``."""
         with self._lock:
             self._counts.setdefault(label, Counter()).update((kind,))
 
-    def change_open(self, label: str, step: int) -> None:
+    def count_open_watch(self, label: str, step: int) -> None:
         """Count a watch that opens (1) or ends (-1)."""
         with self._lock:
             self._open[label] += step
--- a/packages/bench/src/ibisport_bench/standins/store/messages.py
+++ b/packages/bench/src/ibisport_bench/standins/store/messages.py
@@ -150,7 +150,7 @@
 M = TypeVar('M', bound=Message)
 
 
-def read_message(kind: type[M], call: Call) -> M:
+def decode_message(kind: type[M], call: Call) -> M:
     """Return the call's body as a message.
 
     Raises:
--- a/packages/bench/src/ibisport_bench/standins/store/operations.py
+++ b/packages/bench/src/ibisport_bench/standins/store/operations.py
@@ -78,8 +78,8 @@
         with self._database.lock:
             succeeded = all(map(self._holds, request.compare))
             branch = request.success if succeeded else request.failure
-            self._check(branch)
-            responses = [self._carry_out(one) for one in branch]
+            self._check_operations(branch)
+            responses = [self._execute(one) for one in branch]
             self._database.commit()
             header = encode_header(self._database.revision)
         return drop_empty(
@@ -101,7 +101,7 @@
         pair = self._database.get(key)
         return [] if pair is None else [pair]
 
-    def _check(self, branch: list[RequestOp]) -> None:
+    def _check_operations(self, branch: list[RequestOp]) -> None:
         # Nothing of a transaction may be applied when a part of it is wrong.
         puts = [one.request_put for one in branch if one.request_put]
         deletions = [one.request_delete_range for one in branch]
@@ -121,7 +121,7 @@
             raise CallRejected('etcdserver: key is not provided', 400, 3)
         self._leases.check(request.lease)
 
-    def _carry_out(self, one: RequestOp) -> Fields:
+    def _execute(self, one: RequestOp) -> Fields:
         if one.request_put is not None:
             return {'response_put': self._put(one.request_put)}
         if one.request_delete_range is not None:
--- a/packages/bench/src/ibisport_bench/standins/store/watching.py
+++ b/packages/bench/src/ibisport_bench/standins/store/watch_streams.py
@@ -18,11 +18,11 @@
 from ibisport_bench.standins.store.records import KeyRange
 from ibisport_bench.standins.web import Call, pause_while
 
-WAIT_STEP = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 DEFAULT_PROGRESS_SECONDS = 10
 
 
-class Watching:
+class WatchStreams:
     """Opens and serves watch streams."""
 
     def __init__(
@@ -44,16 +44,16 @@
         """Yield the messages of one watch until it ends or the client leaves."""
         watch = self._open(request)
         compacted = self._database.compacted
-        self._counts.change_open(label, 1)
+        self._counts.count_open_watch(label, 1)
         try:
             yield self._encode({'created': True})
             if request.start_revision and request.start_revision < compacted:
                 ending = {'canceled': True, 'compact_revision': str(compacted)}
                 yield self._encode(ending)
                 return
-            yield from self._follow(call, watch, request, label)
+            yield from self._stream_changes(call, watch, request, label)
         finally:
-            self._counts.change_open(label, -1)
+            self._counts.count_open_watch(label, -1)
             with self._database.lock:
                 self._database.remove_watch(watch)
 
@@ -65,14 +65,14 @@
             self._database.add_watch(watch)
             return watch
 
-    def _follow(
+    def _stream_changes(
         self, call: Call, watch: Watch, request: WatchCreateRequest, label: str
     ) -> Iterator[bytes]:
-        is_held = partial(self._is_held, label)
+        is_held = partial(self._are_events_held, label)
         progress_at = time.monotonic() + self._progress_seconds
         while not self._control.faults.down and not call.is_abandoned():
             try:
-                batch = watch.batches.get(timeout=WAIT_STEP)
+                batch = watch.batches.get(timeout=POLL_INTERVAL_SECONDS)
             except queue.Empty:
                 batch = ()
             if batch is None:
@@ -84,9 +84,9 @@
                 progress_at = time.monotonic() + self._progress_seconds
                 yield self._encode({})
 
-    def _is_held(self, label: str) -> bool:
+    def _are_events_held(self, label: str) -> bool:
         faults = self._control.faults
-        return faults.hold_watches or self._control.cuts_off(label)
+        return faults.hold_watches or self._control.is_partitioned(label)
 
     def _encode_batch(self, batch: Batch, with_previous: bool) -> bytes:
         events = [encode_change(change, with_previous) for change in batch]
--- a/packages/bench/src/ibisport_bench/standins/web.py
+++ b/packages/bench/src/ibisport_bench/standins/web.py
@@ -24,14 +24,14 @@
 HOST = '127.0.0.1'
 JSON_TYPE = 'application/json'
 EVENT_STREAM_TYPE = 'text/event-stream'
-CONNECTION_TIMEOUT = 600
-SHUTDOWN_TIMEOUT = 1
-STOP_TIMEOUT = 5
-STOP_CHECK_INTERVAL = 0.1
+CONNECTION_TIMEOUT_SECONDS = 600
+SHUTDOWN_TIMEOUT_SECONDS = 1
+STOP_TIMEOUT_SECONDS = 5
+STOP_CHECK_INTERVAL_SECONDS = 0.1
 LISTEN_BACKLOG = 1024
-MOST_IDLE_CONNECTIONS = 100_000
-PAUSE_STEP = 0.05
-KEEP_THREAD_MS = 20
+MAX_IDLE_CONNECTIONS = 100_000
+PAUSE_POLL_INTERVAL_SECONDS = 0.05
+IDLE_POLL_MS = 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,13 +187,13 @@
     def _wait_for_request(self) -> bool:
         poll = select.poll()
         poll.register(self.socket, select.POLLIN)
-        return bool(poll.poll(KEEP_THREAD_MS))
+        return bool(poll.poll(IDLE_POLL_MS))
 
 
 class _ApplicationServer(HTTPServer):  # type: ignore[misc]
     ConnectionClass = _Connection
     application: Application
-    keep_alive_conn_limit = MOST_IDLE_CONNECTIONS
+    keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
 
 
 @dataclass(frozen=True, slots=True)
@@ -232,8 +232,8 @@
         self._server = _ApplicationServer((HOST, port), _Gateway)
         self._server.application = application
         self._server.requests = ThreadPool(self._server, min=threads, max=threads)
-        self._server.timeout = CONNECTION_TIMEOUT
-        self._server.shutdown_timeout = SHUTDOWN_TIMEOUT
+        self._server.timeout = CONNECTION_TIMEOUT_SECONDS
+        self._server.shutdown_timeout = SHUTDOWN_TIMEOUT_SECONDS
         self._server.request_queue_size = LISTEN_BACKLOG
 
     def serve(self) -> None:
@@ -247,10 +247,10 @@
         # A signal that came during a pause may reach another thread, and does not
         # wake a main thread that waits on a lock for good: so look at intervals.
         while not self._stopping.is_set():
-            time.sleep(STOP_CHECK_INTERVAL)
+            time.sleep(STOP_CHECK_INTERVAL_SECONDS)
         ending = threading.Thread(target=self._server.stop, daemon=True)
         ending.start()
-        ending.join(STOP_TIMEOUT)
+        ending.join(STOP_TIMEOUT_SECONDS)
         # Pool threads may still wait on sockets; nothing is left to be saved.
         os._exit(0)
 
@@ -291,7 +291,7 @@
     while condition():
         if call is not None and call.is_abandoned():
             raise ConnectionDropped('client left')
-        time.sleep(PAUSE_STEP)
+        time.sleep(PAUSE_POLL_INTERVAL_SECONDS)
 
 
 def _print_nothing(_: Server) -> None:
--- a/packages/bench/src/ibisport_bench/standins/weights.py
+++ b/packages/bench/src/ibisport_bench/standins/weights.py
@@ -16,8 +16,8 @@
     run_server,
 )
 
-PREFIX = '/weights/'
-PIECE_BYTES = 65536
+PATH_PREFIX = '/weights/'
+CHUNK_BYTES = 65536
 CONTENT_TYPE = 'application/octet-stream'
 
 
@@ -37,7 +37,7 @@
         """Serve one call."""
         if call.path == '/counts':
             return self._show_counts()
-        name = call.path.removeprefix(PREFIX)
+        name = call.path.removeprefix(PATH_PREFIX)
         if name == call.path or not name:
             raise CallRejected('no such path', HTTPStatus.NOT_FOUND, 5)
         return Stream(self._fetch(name), CONTENT_TYPE)
@@ -47,7 +47,7 @@
             self._started[name] += 1
         left = self._size
         while left:
-            length = min(left, PIECE_BYTES)
+            length = min(left, CHUNK_BYTES)
             time.sleep(max(0, self._reserve(length) - time.monotonic()))
             left -= length
             yield bytes(length)
