--- a/packages/bench/src/ibisport_bench/standins/store/__main__.py
+++ b/packages/bench/src/ibisport_bench/standins/store/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the stand-in of the key-value service."""
+"""Command line of the key-value service stand-in."""
 
 from ibisport_bench.standins.store.api import StoreApi
 from ibisport_bench.standins.web import Server, run_server
@@ -11,14 +11,14 @@
     progress_seconds: float = 10,
     threads: int = 300,
 ) -> Server:
-    """Make the server of the key-value service.
+    """Create the server of the key-value service.
 
     Args:
-        port: TCP port on 127.0.0.1; 0 takes a free one.
-        writes_per_second: Most writes a second; 0 for no limit.
-        reads_per_second: Most reads a second; 0 for no limit.
-        progress_seconds: Seconds between progress messages of a watch.
-        threads: Connections served at once, waiting watches included.
+        port: TCP port on 127.0.0.1; 0 selects a free port.
+        writes_per_second: Maximum writes per second; 0 for no limit.
+        reads_per_second: Maximum reads per second; 0 for no limit.
+        progress_seconds: Seconds between progress notifications of an idle watch.
+        threads: Connections served at once, including open watches.
     """
     api = StoreApi(writes_per_second, reads_per_second, progress_seconds)
     api.leases.start_expiry()
--- a/packages/bench/src/ibisport_bench/standins/store/api.py
+++ b/packages/bench/src/ibisport_bench/standins/store/api.py
@@ -1,4 +1,4 @@
-"""Routes of the store: etcd's JSON gateway and the test's own controls."""
+"""HTTP routes of the store: etcd's JSON gateway and the test controls."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How one path is served.
+    """The handler of a path.
 
     Attributes:
-        kind: ``reads`` or ``writes``, for rates and counts.
-        serve: Carries the call out.
+        kind: ``reads`` or ``writes``; selects the rate limit and the counter.
+        serve: Executes the call and returns its answer.
     """
 
     kind: str
@@ -56,37 +56,37 @@
     def __init__(
         self, writes_per_second: float, reads_per_second: float, progress_seconds: float
     ) -> None:
-        """Start empty, with rates in calls a second."""
+        """Create an empty store; the rates are in calls per second."""
         self.database = Database()
         self.leases = Leases(self.database)
         self._operations = Operations(self.database, self.leases)
-        self._control = FaultControl()
+        self._fault_control = FaultControl()
         self._counts = Counts()
-        self._watching = WatchStreams(
-            self.database, self._control, self._counts, progress_seconds
+        self._watch_streams = WatchStreams(
+            self.database, self._fault_control, self._counts, progress_seconds
         )
-        self._rates = {
+        self._rate_limiters = {
             WRITES: RateLimiter(writes_per_second),
             READS: RateLimiter(reads_per_second),
         }
         self._controls = Controls(
-            self.database, self.leases, self._control, self._counts
+            self.database, self.leases, self._fault_control, self._counts
         )
         self._lease_calls = LeaseCalls(self.database, self.leases)
         self._routes = self._list_routes()
 
     def __call__(self, call: Call) -> Answer | Stream:
-        """Serve one call."""
+        """Serve one call; faults and rate limits don't apply to the test controls."""
         if call.path in self._controls.routes:
             return self._controls.routes[call.path](call)
         label = call.get_header(LABEL_HEADER)
-        self._control.apply_before_call(label)
+        self._fault_control.apply_before_call(label)
         route = self._routes.get(call.path)
         if route is None:
             raise CallRejected('Not Found', 404, 5)
         kind = _classify_call(call, route)
         self._counts.count_call(label, kind)
-        self._rates[kind].wait()
+        self._rate_limiters[kind].wait()
         return route.serve(call)
 
     def _list_routes(self) -> dict[str, Route]:
@@ -121,8 +121,10 @@
 
     def _transact(self, call: Call) -> Answer:
         answer = self._operations.transact(decode_message(TxnRequest, call))
-        wrote = any('response_range' not in one for one in answer.get('responses', ()))
-        return self._answer_write(answer) if wrote else answer_json(answer)
+        has_written = any(
+            'response_range' not in response for response in answer.get('responses', ())
+        )
+        return self._answer_write(answer) if has_written else answer_json(answer)
 
     def _compact(self, call: Call) -> Answer:
         with self.database.lock:
@@ -132,10 +134,10 @@
     def _watch(self, call: Call) -> Stream:
         request = decode_message(WatchRequest, call).create_request
         label = call.get_header(LABEL_HEADER)
-        return Stream(self._watching.stream(call, request, label))
+        return Stream(self._watch_streams.stream(call, request, label))
 
     def _answer_write(self, answer: Fields) -> Answer:
-        self._control.apply_after_write()
+        self._fault_control.apply_after_write()
         return answer_json(answer)
 
     def _add_header(self, fields: Fields) -> Fields:
--- a/packages/bench/src/ibisport_bench/standins/store/controls.py
+++ b/packages/bench/src/ibisport_bench/standins/store/controls.py
@@ -1,4 +1,4 @@
-"""The test's own controls on the store; no fault touches them."""
+"""Test controls of the store, which injected faults do not affect."""
 
 from typing import Any
 
@@ -16,23 +16,23 @@
 
 
 class Controls:
-    """Serves faults, history and counts.
+    """Serves the paths for faults, history and call counts.
 
     Attributes:
-        routes: Functions by path.
+        routes: Handlers by path.
     """
 
     def __init__(
         self,
         database: Database,
         leases: Leases,
-        control: FaultControl,
+        fault_control: FaultControl,
         counts: Counts,
     ) -> None:
-        """Keep what is controlled."""
+        """Control the given parts of the store."""
         self._database = database
         self._leases = leases
-        self._control = control
+        self._fault_control = fault_control
         self._counts = counts
         self.routes = {
             '/faults': self._serve_faults,
@@ -44,37 +44,37 @@
     def _serve_faults(self, call: Call) -> Answer:
         if call.method == 'POST':
             self._apply_faults(read_json(call))
-        return answer_json(self._control.faults.model_dump())
+        return answer_json(self._fault_control.faults.model_dump())
 
     def _apply_faults(self, fields: dict[str, Any]) -> None:
-        cut = fields.pop('cut_watches', False)
-        expired = str(fields.pop('expire_lease', ''))
+        ends_watches = fields.pop('cut_watches', False)
+        lease = str(fields.pop('expire_lease', ''))
         try:
-            self._control.change(fields)
+            self._fault_control.change(fields)
         except ValidationError as error:
             raise CallRejected(str(error), 400, 3) from error
-        if cut:
+        if ends_watches:
             with self._database.lock:
                 self._database.cut_watches()
-        if expired:
-            self._expire_leases(expired)
+        if lease:
+            self._expire_leases(lease)
 
-    def _expire_leases(self, expired: str) -> None:
-        if expired == ALL_LEASES:
+    def _expire_leases(self, lease: str) -> None:
+        if lease == ALL_LEASES:
             self._leases.expire()
-        elif expired.isdigit():
-            self._leases.expire(int(expired))
+        elif lease.isdigit():
+            self._leases.expire(int(lease))
         else:
-            raise CallRejected(f'no lease id: {expired}', 400, 3)
+            raise CallRejected(f'no lease id: {lease}', 400, 3)
 
     def _show_history(self, call: Call) -> Answer:
         after = int(call.query.get('after', 0))
         with self._database.lock:
             changes = list(self._database.changes)
-        shown = [
+        described = [
             _describe(change) for change in changes if change.pair.mod_revision > after
         ]
-        return answer_json(shown)
+        return answer_json(described)
 
     def _show_counts(self, call: Call) -> Answer:
         return answer_json(self._counts.describe())
--- a/packages/bench/src/ibisport_bench/standins/store/database.py
+++ b/packages/bench/src/ibisport_bench/standins/store/database.py
@@ -1,4 +1,4 @@
-"""Linearizable multi-version key-value data under a single lock."""
+"""Linearizable multi-version key-value data, guarded by a single lock."""
 
 import queue
 import threading
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Watch:
-    """A waiting watch; batches of one revision arrive in its queue.
+    """A subscription to a key range; its queue receives a batch per revision.
 
     Attributes:
-        wanted: Keys to be reported.
-        start_revision: First revision to be reported.
-        batches: Changes by revision; None ends the watch.
+        key_range: Keys whose changes are reported.
+        start_revision: First revision that is reported.
+        batches: Queue of the changes of each revision; None ends the watch.
     """
 
     key_range: KeyRange
@@ -29,19 +29,21 @@
 
 
 class Database:
-    """Pairs, their history and the watches on them.
+    """Key-value pairs, their history and the watches on them.
 
-    Methods other than ``lock`` users' reads must run inside ``with lock``.
+    Callers hold ``lock`` around each method; single attributes may be read
+    without it.
 
     Attributes:
-        lock: Re-entrant lock of all data.
+        lock: Re-entrant lock that guards all data.
         revision: Last committed revision.
-        compacted: Revisions up to this one cannot be read any more.
-        changes: All changes, oldest first; kept beyond compaction for checkers.
+        compacted: Revision of the last compaction; older ones cannot be read.
+        changes: All changes, oldest first; compaction keeps them, so that checkers
+            can read the whole history.
     """
 
     def __init__(self) -> None:
-        """Start empty, at etcd's first revision."""
+        """Create an empty database at etcd's first revision."""
         self.lock = threading.RLock()
         self.revision = FIRST_REVISION
         self.compacted = 0
@@ -52,17 +54,17 @@
         self._pending: list[Change] = []
 
     def get(self, key: bytes) -> Pair | None:
-        """Return the pair of a key, uncommitted changes included."""
+        """Return the pair of a key, including uncommitted changes."""
         return self._pairs.get(key)
 
-    def select(self, wanted: KeyRange, revision: int = 0) -> list[Pair]:
-        """Return the pairs in the range, in key order.
+    def select(self, key_range: KeyRange, revision: int = 0) -> list[Pair]:
+        """Return the pairs of a key range, sorted by key.
 
         Raises:
-            CallRejected: The revision is compacted or not yet reached.
+            CallRejected: The revision is compacted or in the future.
         """
         if not revision or revision == self.revision:
-            return [self._pairs[key] for key in self._select_keys(wanted)]
+            return [self._pairs[key] for key in self._select_keys(key_range)]
         if revision > self.revision:
             raise CallRejected(
                 'etcdserver: mvcc: required revision is a future one', 400, 11
@@ -71,37 +73,37 @@
             raise CallRejected(
                 'etcdserver: mvcc: required revision has been compacted', 400, 11
             )
-        return self._replay(wanted, revision)
+        return self._replay(key_range, revision)
 
     def put(self, key: bytes, value: bytes, lease: int) -> Pair | None:
-        """Set a key at the next revision and return the pair before."""
-        before = self._pairs.get(key)
-        after = Pair(
+        """Set a key at the next revision and return its previous pair."""
+        previous = self._pairs.get(key)
+        current = Pair(
             key=key,
             value=value,
-            create_revision=before.create_revision if before else self.revision + 1,
+            create_revision=previous.create_revision if previous else self.revision + 1,
             mod_revision=self.revision + 1,
-            version=before.version + 1 if before else 1,
+            version=previous.version + 1 if previous else 1,
             lease=lease,
         )
-        if before is None:
+        if previous is None:
             insort(self._keys, key)
-        self._pairs[key] = after
-        self._pending.append(Change(after, before, time.time()))
-        return before
-
-    def delete(self, wanted: KeyRange) -> list[Pair]:
-        """Delete the range at the next revision and return the pairs before."""
-        deleted = [self._pairs[key] for key in self._select_keys(wanted)]
-        for before in deleted:
-            self._pairs.pop(before.key)
-            self._keys.pop(bisect_left(self._keys, before.key))
-            tombstone = Pair(before.key, mod_revision=self.revision + 1)
-            self._pending.append(Change(tombstone, before, time.time()))
+        self._pairs[key] = current
+        self._pending.append(Change(current, previous, time.time()))
+        return previous
+
+    def delete(self, key_range: KeyRange) -> list[Pair]:
+        """Delete a key range at the next revision and return the deleted pairs."""
+        deleted = [self._pairs[key] for key in self._select_keys(key_range)]
+        for previous in deleted:
+            self._pairs.pop(previous.key)
+            self._keys.pop(bisect_left(self._keys, previous.key))
+            tombstone = Pair(previous.key, mod_revision=self.revision + 1)
+            self._pending.append(Change(tombstone, previous, time.time()))
         return deleted
 
     def commit(self) -> bool:
-        """Make pending changes one revision; tell whether there were any."""
+        """Commit the pending changes as one revision; False if there are none."""
         if not self._pending:
             return False
         batch = tuple(self._pending)
@@ -113,10 +115,10 @@
         return True
 
     def compact(self, revision: int) -> None:
-        """Forget what stood before the revision.
+        """Make the revisions before the given one unreadable.
 
         Raises:
-            CallRejected: It is compacted already or lies in the future.
+            CallRejected: The revision is already compacted or in the future.
         """
         if revision > self.revision:
             raise CallRejected(
@@ -129,50 +131,52 @@
         self.compacted = revision
 
     def add_watch(self, watch: Watch) -> None:
-        """Register a watch and replay what it has missed."""
+        """Register a watch and send it the changes since its start revision."""
         if watch.start_revision <= self.revision:
             for batch in self._split_history(watch.start_revision):
                 self._notify_watch(watch, batch)
         self._watches.add(watch)
 
     def remove_watch(self, watch: Watch) -> None:
-        """Forget a watch."""
+        """Unregister a watch."""
         self._watches.discard(watch)
 
     def cut_watches(self) -> None:
-        """End all waiting watches."""
+        """End all open watches."""
         for watch in self._watches:
             watch.batches.put(None)
 
     def _notify_watch(self, watch: Watch, batch: Batch) -> None:
         if batch[0].pair.mod_revision < watch.start_revision:
             return
-        seen = tuple(one for one in batch if watch.key_range.covers(one.pair.key))
-        if seen:
-            watch.batches.put(seen)
+        matching = tuple(
+            change for change in batch if watch.key_range.covers(change.pair.key)
+        )
+        if matching:
+            watch.batches.put(matching)
 
     def _split_history(self, start_revision: int) -> list[Batch]:
         by_revision: dict[int, list[Change]] = {}
         first = bisect_left(
-            self.changes, start_revision, key=lambda one: one.pair.mod_revision
+            self.changes, start_revision, key=lambda entry: entry.pair.mod_revision
         )
         for change in self.changes[first:]:
             by_revision.setdefault(change.pair.mod_revision, []).append(change)
         return [tuple(changes) for changes in by_revision.values()]
 
-    def _select_keys(self, wanted: KeyRange) -> list[bytes]:
-        if not wanted.end:
-            return [wanted.start] if wanted.start in self._pairs else []
-        first = bisect_left(self._keys, wanted.start)
-        if wanted.end == b'\0':
+    def _select_keys(self, key_range: KeyRange) -> list[bytes]:
+        if not key_range.end:
+            return [key_range.start] if key_range.start in self._pairs else []
+        first = bisect_left(self._keys, key_range.start)
+        if key_range.end == b'\0':
             return self._keys[first:]
-        return self._keys[first : bisect_left(self._keys, wanted.end)]
+        return self._keys[first : bisect_left(self._keys, key_range.end)]
 
-    def _replay(self, wanted: KeyRange, revision: int) -> list[Pair]:
+    def _replay(self, key_range: KeyRange, revision: int) -> list[Pair]:
         found: dict[bytes, Pair] = {}
         for change in self.changes:
             if change.pair.mod_revision > revision:
                 break
-            if wanted.covers(change.pair.key):
+            if key_range.covers(change.pair.key):
                 found[change.pair.key] = change.pair
         return [found[key] for key in sorted(found) if found[key].version]
--- a/packages/bench/src/ibisport_bench/standins/store/encoding.py
+++ b/packages/bench/src/ibisport_bench/standins/store/encoding.py
@@ -1,4 +1,4 @@
-"""Answers of etcd's JSON gateway: int64 as strings, zero fields left out."""
+"""Encoding of etcd's JSON gateway: int64 as strings, zero values omitted."""
 
 import base64
 from typing import Any
@@ -10,17 +10,17 @@
 
 
 def encode_bytes(content: bytes) -> str:
-    """Return standard base64 text."""
+    """Return the bytes as standard base64 text."""
     return base64.b64encode(content).decode()
 
 
 def drop_empty(fields: Fields) -> Fields:
-    """Leave out zero values, as protobuf's JSON form does."""
-    return {name: one for name, one in fields.items() if one not in _EMPTY}
+    """Omit fields with zero values, as protobuf's JSON mapping does."""
+    return {name: value for name, value in fields.items() if value not in _EMPTY}
 
 
 def encode_header(revision: int) -> Fields:
-    """Return the header that each answer carries."""
+    """Return a ResponseHeader message."""
     return {
         'cluster_id': '1',
         'member_id': '1',
@@ -44,7 +44,7 @@
 
 
 def encode_change(change: Change, with_previous: bool) -> Fields:
-    """Return a change as an Event message; the type is always told."""
+    """Return a change as an Event message; its type is never omitted."""
     event: Fields = {
         'type': 'DELETE' if change.is_deletion else 'PUT',
         'kv': encode_pair(change.pair),
--- a/packages/bench/src/ibisport_bench/standins/store/faults.py
+++ b/packages/bench/src/ibisport_bench/standins/store/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the store that a test may order."""
+"""Faults that tests inject into the store."""
 
 import random
 import threading
@@ -14,14 +14,15 @@
     """Faults in force.
 
     Attributes:
-        down: Connections are closed without an answer, before applying.
-        refuse: Calls are answered 503, before applying.
-        slow_ms: Milliseconds that each call waits before it is applied.
-        lose_answers: Number of next writes that commit without an answer.
-        lose_answer_rate: Share of further writes that commit without one.
-        seed: Seed of that share.
-        hold_watches: Events are held back while streams stay open.
-        only_sources: Client labels that are cut off, or None.
+        down: Connections are closed without an answer, before a call is applied.
+        refuse: Calls are answered with 503 and not applied.
+        slow_ms: Delay in milliseconds before each call is applied.
+        lose_answers: Number of following writes that commit without an answer.
+        lose_answer_rate: Share of the other writes that commit without an answer.
+        seed: Seed of the random draws for ``lose_answer_rate``.
+        hold_watches: Watch events are delayed while their streams stay open.
+        only_sources: Labels of the clients that are partitioned from the store;
+            None for no partition.
     """
 
     down: bool = False
@@ -35,16 +36,16 @@
 
 
 class FaultControl:
-    """The faults in force and their effect on calls."""
+    """Holds the faults in force and applies them to calls."""
 
     def __init__(self) -> None:
-        """Start without faults."""
+        """Create the control without faults."""
         self.faults = StoreFaults()
         self._random = random.Random(0)
         self._lock = threading.Lock()
 
     def change(self, fields: dict[str, Any]) -> StoreFaults:
-        """Merge the fields into the faults in force and return these."""
+        """Update the given fields of the faults in force and return the faults."""
         with self._lock:
             merged = {**self.faults.model_dump(), **fields}
             self.faults = StoreFaults.model_validate(merged)
@@ -53,15 +54,15 @@
             return self.faults
 
     def is_partitioned(self, label: str) -> bool:
-        """Tell whether the client is on the other side of a partition."""
+        """Return whether a client is partitioned from the store."""
         return label in (self.faults.only_sources or ())
 
     def apply_before_call(self, label: str) -> None:
-        """Apply the faults that strike before a call.
+        """Apply the faults that affect a call before it is executed.
 
         Raises:
-            ConnectionDropped: The store is down or cut off.
-            CallRejected: The store refuses.
+            ConnectionDropped: The store is down or the client is partitioned from it.
+            CallRejected: The store refuses calls.
         """
         faults = self.faults
         if faults.down or self.is_partitioned(label):
@@ -72,15 +73,15 @@
             time.sleep(faults.slow_ms / 1000)
 
     def apply_after_write(self) -> None:
-        """Apply the faults that strike after a committed write.
+        """Apply the faults that affect a committed write.
 
         Raises:
-            ConnectionDropped: The answer is lost.
+            ConnectionDropped: The answer is not sent.
         """
         with self._lock:
             if self.faults.lose_answers > 0:
-                left = self.faults.lose_answers - 1
-                self.faults = self.faults.model_copy(update={'lose_answers': left})
+                remaining = self.faults.lose_answers - 1
+                self.faults = self.faults.model_copy(update={'lose_answers': remaining})
                 raise ConnectionDropped('answer lost')
             if self._random.random() < self.faults.lose_answer_rate:
                 raise ConnectionDropped('answer lost')
--- a/packages/bench/src/ibisport_bench/standins/store/lease_calls.py
+++ b/packages/bench/src/ibisport_bench/standins/store/lease_calls.py
@@ -1,4 +1,4 @@
-"""Calls on leases, in the manner of etcd's JSON gateway."""
+"""Lease calls of etcd's JSON gateway."""
 
 import time
 
@@ -18,7 +18,7 @@
     """Serves the paths under ``/v3/lease``."""
 
     def __init__(self, database: Database, leases: Leases) -> None:
-        """Keep what is served."""
+        """Serve the leases of a database."""
         self._database = database
         self._leases = leases
 
@@ -34,26 +34,26 @@
         return self._answer({})
 
     def keep_alive(self, call: Call) -> Answer:
-        """Serve one LeaseKeepAlive; a lease that is gone shows no TTL."""
+        """Serve one LeaseKeepAlive; the answer for a missing lease has no TTL."""
         request = decode_message(LeaseRequest, call)
         lease = self._leases.renew(request.lease_id)
         ttl = lease.granted_ttl if lease else 0
-        shown = drop_empty({'ID': str(request.lease_id), 'TTL': str(ttl)})
-        return answer_json({'result': self._add_header(shown)})
+        fields = drop_empty({'ID': str(request.lease_id), 'TTL': str(ttl)})
+        return answer_json({'result': self._add_header(fields)})
 
     def show(self, call: Call) -> Answer:
-        """Serve LeaseTimeToLive; a lease that is gone shows a TTL of -1."""
+        """Serve LeaseTimeToLive; the TTL of a missing lease is -1."""
         request = decode_message(LeaseRequest, call)
         with self._database.lock:
             lease = self._leases.find(request.lease_id)
             keys = self._leases.list_keys(request.lease_id)
-        shown: Fields = {'ID': str(request.lease_id), 'TTL': '-1'}
+        fields: Fields = {'ID': str(request.lease_id), 'TTL': '-1'}
         if lease is not None:
-            left = max(1, int(lease.deadline - time.monotonic()))
-            shown.update({'TTL': str(left), 'grantedTTL': str(lease.granted_ttl)})
+            remaining = max(1, int(lease.deadline - time.monotonic()))
+            fields.update({'TTL': str(remaining), 'grantedTTL': str(lease.granted_ttl)})
             if request.keys:
-                shown['keys'] = [encode_bytes(key) for key in keys]
-        return self._answer(shown)
+                fields['keys'] = [encode_bytes(key) for key in keys]
+        return self._answer(fields)
 
     def _answer(self, fields: Fields) -> Answer:
         return answer_json(self._add_header(fields))
--- a/packages/bench/src/ibisport_bench/standins/store/leases.py
+++ b/packages/bench/src/ibisport_bench/standins/store/leases.py
@@ -1,4 +1,4 @@
-"""Leases of the store; they expire by monotonic time and delete their keys."""
+"""Leases of the store, which expire by monotonic time and delete their keys."""
 
 import random
 import threading
@@ -13,31 +13,31 @@
 
 
 class Leases:
-    """All leases of one database; its lock is theirs too."""
+    """The leases of a database, guarded by the database's lock."""
 
     def __init__(self, database: Database) -> None:
-        """Start without leases."""
+        """Create an empty collection."""
         self._database = database
         self._leases: dict[int, Lease] = {}
         self._keys: dict[int, set[bytes]] = {}
 
     def grant(self, ttl: int, lease_id: int) -> Lease:
-        """Grant a lease.
+        """Grant a lease under the given id, or under a random one if it is 0.
 
         Raises:
-            CallRejected: The id is taken.
+            CallRejected: A lease with this id exists.
         """
         with self._database.lock:
-            wanted_id = lease_id or random.getrandbits(ID_BITS) + 1
-            if wanted_id in self._leases:
+            new_id = lease_id or random.getrandbits(ID_BITS) + 1
+            if new_id in self._leases:
                 raise CallRejected('etcdserver: lease already exists', 400, 9)
-            lease = Lease(wanted_id, ttl, time.monotonic() + ttl)
-            self._leases[wanted_id] = lease
-            self._keys[wanted_id] = set()
+            lease = Lease(new_id, ttl, time.monotonic() + ttl)
+            self._leases[new_id] = lease
+            self._keys[new_id] = set()
             return lease
 
     def renew(self, lease_id: int) -> Lease | None:
-        """Move the lease's deadline, or return None when it is gone."""
+        """Restart the TTL of a lease; return None if it does not exist."""
         with self._database.lock:
             lease = self._leases.get(lease_id)
             if lease is None:
@@ -48,34 +48,34 @@
             return renewed
 
     def find(self, lease_id: int) -> Lease | None:
-        """Return a lease that has not ended."""
+        """Return a lease, or None if it does not exist."""
         return self._leases.get(lease_id)
 
     def list_keys(self, lease_id: int) -> list[bytes]:
-        """Return the keys bound to the lease, sorted."""
+        """Return the keys attached to a lease, sorted."""
         return sorted(self._keys.get(lease_id, ()))
 
     def check(self, lease_id: int) -> None:
-        """Make sure that a lease named by a put exists.
+        """Check that the lease of a put exists; 0 stands for no lease.
 
         Raises:
-            CallRejected: It does not.
+            CallRejected: The lease does not exist.
         """
         if lease_id and lease_id not in self._leases:
             raise _make_not_found_error()
 
-    def bind(self, key: bytes, before: int, after: int) -> None:
-        """Move a key from one lease to another; 0 stands for none."""
-        if before in self._keys:
-            self._keys[before].discard(key)
-        if after:
-            self._keys[after].add(key)
+    def bind(self, key: bytes, previous_lease: int, new_lease: int) -> None:
+        """Move a key from one lease to another; 0 stands for no lease."""
+        if previous_lease in self._keys:
+            self._keys[previous_lease].discard(key)
+        if new_lease:
+            self._keys[new_lease].add(key)
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease and delete its keys in one revision.
+        """Revoke a lease and delete its keys in one revision.
 
         Raises:
-            CallRejected: There is no such lease.
+            CallRejected: No such lease exists.
         """
         with self._database.lock:
             if self._leases.pop(lease_id, None) is None:
@@ -85,14 +85,14 @@
             self._database.commit()
 
     def expire(self, lease_id: int | None = None) -> None:
-        """End one lease, or all, as if their time had run out."""
+        """Expire one lease, or all of them, before their deadlines."""
         with self._database.lock:
-            for known in tuple(self._leases):
-                if lease_id in {None, known}:
-                    self.revoke(known)
+            for granted_id in tuple(self._leases):
+                if lease_id in {None, granted_id}:
+                    self.revoke(granted_id)
 
     def start_expiry(self) -> None:
-        """Start the thread that ends leases at their deadlines."""
+        """Start the thread that expires leases at their deadlines."""
         threading.Thread(target=self._expire_periodically, daemon=True).start()
 
     def _expire_periodically(self) -> None:
--- a/packages/bench/src/ibisport_bench/standins/store/limits.py
+++ b/packages/bench/src/ibisport_bench/standins/store/limits.py
@@ -1,4 +1,4 @@
-"""Call rates of the store, and counts of calls by client."""
+"""Rate limits of the store, and call counts by client."""
 
 import threading
 import time
@@ -11,19 +11,19 @@
 
 
 class RateLimiter:
-    """A token bucket in which calls wait their turn."""
+    """Spaces calls at a fixed rate; idle time allows a burst of ``BURST_SECONDS``."""
 
     def __init__(self, per_second: float) -> None:
-        """Set the rate in calls a second; 0 stands for no limit."""
+        """Set the rate in calls per second; 0 stands for no limit."""
         self._interval = 1 / per_second if per_second else 0
         self._next_at = time.monotonic()
         self._lock = threading.Lock()
 
     def wait(self) -> None:
-        """Wait for this call's turn.
+        """Wait until the rate admits this call.
 
         Raises:
-            CallRejected: The turn is more than a second away.
+            CallRejected: The wait would exceed ``MAX_WAIT_SECONDS``.
         """
         delay = self._reserve() if self._interval else 0
         if delay > 0:
@@ -32,18 +32,18 @@
     def _reserve(self) -> float:
         with self._lock:
             now = time.monotonic()
-            turn = max(self._next_at, now - BURST_SECONDS)
-            if turn - now > MAX_WAIT_SECONDS:
+            starts_at = max(self._next_at, now - BURST_SECONDS)
+            if starts_at - now > MAX_WAIT_SECONDS:
                 raise CallRejected('etcdserver: too many requests', 503, 8)
-            self._next_at = turn + self._interval
-            return turn - now
+            self._next_at = starts_at + self._interval
+            return starts_at - now
 
 
 class Counts:
-    """Calls by client label."""
+    """Counts calls and open watches by client label."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create the counts at zero."""
         self._lock = threading.Lock()
         self._counts: dict[str, Counter[str]] = {}
         self._open = Counter[str]()
@@ -54,22 +54,24 @@
             self._counts.setdefault(label, Counter()).update((kind,))
 
     def count_open_watch(self, label: str, step: int) -> None:
-        """Count a watch that opens (1) or ends (-1)."""
+        """Count a watch that opens (step 1) or ends (step -1)."""
         with self._lock:
             self._open[label] += step
 
     def reset(self) -> None:
-        """Forget reads and writes; open watches stay counted."""
+        """Reset the counts of reads and writes; open watches stay counted."""
         with self._lock:
             self._counts.clear()
 
     def describe(self) -> dict[str, object]:
-        """Return totals and numbers by client label."""
+        """Return the totals and the counts by client label."""
         with self._lock:
             labels = {*self._counts, *self._open}
             clients = {label: self._describe_client(label) for label in sorted(labels)}
         kinds = ('reads', 'writes', 'watches_open')
-        totals = {kind: sum(one[kind] for one in clients.values()) for kind in kinds}
+        totals = {
+            kind: sum(client[kind] for client in clients.values()) for kind in kinds
+        }
         return {**totals, 'clients': clients}
 
     def _describe_client(self, label: str) -> dict[str, int]:
--- a/packages/bench/src/ibisport_bench/standins/store/messages.py
+++ b/packages/bench/src/ibisport_bench/standins/store/messages.py
@@ -1,4 +1,4 @@
-"""Requests of etcd's JSON gateway, validated; names as published by etcd."""
+"""Validated requests of etcd's JSON gateway, with etcd's field names."""
 
 from enum import StrEnum
 from http import HTTPStatus
@@ -19,7 +19,7 @@
 
 
 class Message(BaseModel):
-    """Base of all messages: snake case and camel case are both read."""
+    """Base of all messages; accepts field names in snake case and camel case."""
 
     model_config = ConfigDict(
         alias_generator=alias_generators.to_camel, populate_by_name=True
@@ -27,7 +27,7 @@
 
 
 class RangeRequest(Message):
-    """Reads a range of keys."""
+    """Request to read a range of keys."""
 
     key: Base64Bytes = b''
     range_end: Base64Bytes = b''
@@ -37,12 +37,12 @@
     count_only: bool = False
 
     def to_range(self) -> KeyRange:
-        """Return the wanted keys."""
+        """Return the range of keys to read."""
         return KeyRange(self.key, self.range_end)
 
 
 class PutRequest(Message):
-    """Sets a key."""
+    """Request to set a key."""
 
     key: Base64Bytes = b''
     value: Base64Bytes = b''
@@ -51,19 +51,19 @@
 
 
 class DeleteRangeRequest(Message):
-    """Deletes a range of keys."""
+    """Request to delete a range of keys."""
 
     key: Base64Bytes = b''
     range_end: Base64Bytes = b''
     prev_kv: bool = False
 
     def to_range(self) -> KeyRange:
-        """Return the keys to be deleted."""
+        """Return the range of keys to delete."""
         return KeyRange(self.key, self.range_end)
 
 
 class CompareResult(StrEnum):
-    """How the stored field must relate to the given one."""
+    """Relation that a stored field must have to the given value."""
 
     equal = 'EQUAL'
     greater = 'GREATER'
@@ -72,7 +72,7 @@
 
 
 class CompareTarget(StrEnum):
-    """Which field is compared."""
+    """Field of a stored pair that is compared."""
 
     version = 'VERSION'
     create = 'CREATE'
@@ -82,7 +82,7 @@
 
 
 class Compare(Message):
-    """One condition of a transaction."""
+    """Condition of a transaction."""
 
     result: CompareResult = CompareResult.equal
     target: CompareTarget = CompareTarget.version
@@ -96,7 +96,7 @@
 
 
 class RequestOp(Message):
-    """One operation of a transaction; exactly one field is set."""
+    """Operation of a transaction; exactly one field is set."""
 
     request_range: RangeRequest | None = None
     request_put: PutRequest | None = None
@@ -104,26 +104,29 @@
 
 
 class TxnRequest(Message):
-    """Compares, then carries out one of two lists of operations."""
+    """Request for a transaction.
+
+    ``success`` is executed if all comparisons hold, ``failure`` otherwise.
+    """
 
     compare: list[Compare] = []
     success: list[RequestOp] = []
     failure: list[RequestOp] = []
 
     def writes(self) -> bool:
-        """Tell whether it may change anything."""
+        """Return whether the transaction contains a write in either branch."""
         operations = (*self.success, *self.failure)
-        return any(one.request_range is None for one in operations)
+        return any(operation.request_range is None for operation in operations)
 
 
 class CompactionRequest(Message):
-    """Forgets old revisions."""
+    """Request to compact the revisions before the given one."""
 
     revision: int = 0
 
 
 class LeaseRequest(Message):
-    """Any request on a lease; fields not meant are left at zero."""
+    """Request on a lease of any kind; fields that it does not use stay zero."""
 
     ttl: int = Field(default=0, alias='TTL')
     lease_id: int = Field(default=0, alias='ID')
@@ -131,7 +134,7 @@
 
 
 class WatchCreateRequest(Message):
-    """Opens a watch."""
+    """Request to open a watch."""
 
     key: Base64Bytes = b''
     range_end: Base64Bytes = b''
@@ -142,7 +145,7 @@
 
 
 class WatchRequest(Message):
-    """First and only message of a watch stream."""
+    """The only message that a client sends on a watch stream."""
 
     create_request: WatchCreateRequest
 
@@ -151,10 +154,10 @@
 
 
 def decode_message(kind: type[M], call: Call) -> M:
-    """Return the call's body as a message.
+    """Decode the body of a call; an empty body stands for ``{}``.
 
     Raises:
-        CallRejected: The body is no such message.
+        CallRejected: The body is not a valid message of this kind.
     """
     try:
         return kind.model_validate_json(call.body or b'{}')
--- a/packages/bench/src/ibisport_bench/standins/store/operations.py
+++ b/packages/bench/src/ibisport_bench/standins/store/operations.py
@@ -1,4 +1,4 @@
-"""Reads, writes and transactions on the database."""
+"""Reads, writes and transactions on a database."""
 
 import operator
 from collections.abc import Callable
@@ -35,26 +35,26 @@
 
 
 class Operations:
-    """Operations on one database and its leases."""
+    """Executes operations on a database and its leases."""
 
     def __init__(self, database: Database, leases: Leases) -> None:
-        """Keep what is operated on."""
+        """Operate on a database and its leases."""
         self._database = database
         self._leases = leases
 
     def read(self, request: RangeRequest) -> Fields:
-        """Return a RangeResponse."""
+        """Read a key range and return a RangeResponse."""
         with self._database.lock:
             pairs = self._database.select(request.to_range(), request.revision)
             revision = self._database.revision
-        shown = pairs[: request.limit] if request.limit else pairs
+        returned = pairs[: request.limit] if request.limit else pairs
         if request.count_only:
-            shown = []
+            returned = []
         return drop_empty(
             {
                 'header': encode_header(revision),
-                'kvs': [encode_pair(pair, request.keys_only) for pair in shown],
-                'more': not request.count_only and len(shown) < len(pairs),
+                'kvs': [encode_pair(pair, request.keys_only) for pair in returned],
+                'more': not request.count_only and len(returned) < len(pairs),
                 'count': str(len(pairs)),
             }
         )
@@ -79,7 +79,7 @@
             succeeded = all(map(self._holds, request.compare))
             branch = request.success if succeeded else request.failure
             self._check_operations(branch)
-            responses = [self._execute(one) for one in branch]
+            responses = [self._execute(operation) for operation in branch]
             self._database.commit()
             header = encode_header(self._database.revision)
         return drop_empty(
@@ -89,11 +89,11 @@
     def _holds(self, condition: Compare) -> bool:
         relation = _RELATIONS[condition.result]
         if condition.range_end:
-            wanted = KeyRange(condition.key, condition.range_end)
-            found = self._database.select(wanted)
+            key_range = KeyRange(condition.key, condition.range_end)
+            found = self._database.select(key_range)
         else:
             found = self._find(condition.key)
-        # As in etcd, a condition on nothing is held against an empty pair.
+        # As in etcd, a condition on a missing key is compared with an empty pair.
         pairs = found or [Pair(condition.key)]
         return all(_compare(pair, condition, relation) for pair in pairs)
 
@@ -102,17 +102,18 @@
         return [] if pair is None else [pair]
 
     def _check_operations(self, branch: list[RequestOp]) -> None:
-        # Nothing of a transaction may be applied when a part of it is wrong.
-        puts = [one.request_put for one in branch if one.request_put]
-        deletions = [one.request_delete_range for one in branch]
+        # All operations are checked first: an invalid operation must not leave the
+        # transaction partly applied.
+        puts = [operation.request_put for operation in branch if operation.request_put]
+        deletions = [operation.request_delete_range for operation in branch]
         for put in puts:
             self._check_put(put)
-        for one in branch:
-            if one.request_range:
-                self.read(one.request_range)
+        for operation in branch:
+            if operation.request_range:
+                self.read(operation.request_range)
         keys = {put.key for put in puts}
         ranges = [deletion.to_range() for deletion in deletions if deletion]
-        overlaps = any(wanted.covers(key) for wanted in ranges for key in keys)
+        overlaps = any(key_range.covers(key) for key_range in ranges for key in keys)
         if overlaps or len(keys) < len(puts):
             raise CallRejected('etcdserver: duplicate key given in txn request', 400, 3)
 
@@ -121,30 +122,32 @@
             raise CallRejected('etcdserver: key is not provided', 400, 3)
         self._leases.check(request.lease)
 
-    def _execute(self, one: RequestOp) -> Fields:
-        if one.request_put is not None:
-            return {'response_put': self._put(one.request_put)}
-        if one.request_delete_range is not None:
-            return {'response_delete_range': self._delete(one.request_delete_range)}
-        return {'response_range': self.read(one.request_range or RangeRequest())}
+    def _execute(self, operation: RequestOp) -> Fields:
+        if operation.request_put is not None:
+            return {'response_put': self._put(operation.request_put)}
+        if operation.request_delete_range is not None:
+            return {
+                'response_delete_range': self._delete(operation.request_delete_range)
+            }
+        return {'response_range': self.read(operation.request_range or RangeRequest())}
 
     def _put(self, request: PutRequest) -> Fields:
         self._check_put(request)
-        before = self._database.put(request.key, request.value, request.lease)
-        self._leases.bind(request.key, before.lease if before else 0, request.lease)
-        if before is None or not request.prev_kv:
+        previous = self._database.put(request.key, request.value, request.lease)
+        self._leases.bind(request.key, previous.lease if previous else 0, request.lease)
+        if previous is None or not request.prev_kv:
             return {}
-        return {'prev_kv': encode_pair(before)}
+        return {'prev_kv': encode_pair(previous)}
 
     def _delete(self, request: DeleteRangeRequest) -> Fields:
         deleted = self._database.delete(request.to_range())
         for pair in deleted:
             self._leases.bind(pair.key, pair.lease, 0)
-        shown = deleted if request.prev_kv else []
+        returned = deleted if request.prev_kv else []
         return drop_empty(
             {
                 'deleted': str(len(deleted)),
-                'prev_kvs': [encode_pair(pair) for pair in shown],
+                'prev_kvs': [encode_pair(pair) for pair in returned],
             }
         )
 
--- a/packages/bench/src/ibisport_bench/standins/store/records.py
+++ b/packages/bench/src/ibisport_bench/standins/store/records.py
@@ -1,19 +1,19 @@
-"""What the store keeps: pairs and changes."""
+"""Records of the store: pairs, changes, key ranges and leases."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """A key with its value and versions.
+    """A key with its value and revisions.
 
     Attributes:
         key: Key bytes.
         value: Value bytes; empty in the tombstone of a deletion.
-        create_revision: Revision at which the key came into being.
+        create_revision: Revision at which the key was created.
         mod_revision: Revision of the last change.
         version: Number of changes since creation; 0 in a tombstone.
-        lease: Id of the lease, or 0.
+        lease: Id of the lease that the key is attached to; 0 for no lease.
     """
 
     key: bytes
@@ -46,19 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """A range of keys in etcd's manner.
+    """A range of keys, encoded as in etcd.
 
     Attributes:
         start: First key.
-        end: Key after the last; empty for a single key, a zero byte for all
-            keys from the start on.
+        end: Exclusive upper bound; empty for the single key ``start``, a zero byte
+            for all keys from ``start`` on.
     """
 
     start: bytes
     end: bytes = b''
 
     def covers(self, key: bytes) -> bool:
-        """Tell whether the key lies in the range."""
+        """Return whether the key lies in the range."""
         if not self.end:
             return key == self.start
         return key >= self.start and (self.end == b'\0' or key < self.end)
@@ -70,8 +70,8 @@
 
     Attributes:
         lease_id: Positive 63-bit id.
-        granted_ttl: Seconds granted.
-        deadline: Monotonic time at which it expires.
+        granted_ttl: Time to live in seconds, counted from each renewal.
+        deadline: Monotonic time at which the lease expires.
     """
 
     lease_id: int
--- a/packages/bench/src/ibisport_bench/standins/store/watch_streams.py
+++ b/packages/bench/src/ibisport_bench/standins/store/watch_streams.py
@@ -1,4 +1,4 @@
-"""Watch streams: newline-delimited JSON messages."""
+"""Watch streams of newline-delimited JSON messages."""
 
 import json
 import queue
@@ -28,28 +28,28 @@
     def __init__(
         self,
         database: Database,
-        control: FaultControl,
+        fault_control: FaultControl,
         counts: Counts,
         progress_seconds: float = DEFAULT_PROGRESS_SECONDS,
     ) -> None:
-        """Keep what is watched and what may disturb it."""
+        """Serve the watches of a database, subject to the faults in force."""
         self._database = database
-        self._control = control
+        self._fault_control = fault_control
         self._counts = counts
         self._progress_seconds = progress_seconds
 
     def stream(
         self, call: Call, request: WatchCreateRequest, label: str
     ) -> Iterator[bytes]:
-        """Yield the messages of one watch until it ends or the client leaves."""
+        """Yield the messages of a watch until it ends or the client disconnects."""
         watch = self._open(request)
         compacted = self._database.compacted
         self._counts.count_open_watch(label, 1)
         try:
             yield self._encode({'created': True})
             if request.start_revision and request.start_revision < compacted:
-                ending = {'canceled': True, 'compact_revision': str(compacted)}
-                yield self._encode(ending)
+                cancellation = {'canceled': True, 'compact_revision': str(compacted)}
+                yield self._encode(cancellation)
                 return
             yield from self._stream_changes(call, watch, request, label)
         finally:
@@ -58,10 +58,10 @@
                 self._database.remove_watch(watch)
 
     def _open(self, request: WatchCreateRequest) -> Watch:
-        wanted = KeyRange(request.key, request.range_end)
+        key_range = KeyRange(request.key, request.range_end)
         with self._database.lock:
-            start = request.start_revision or self._database.revision + 1
-            watch = Watch(wanted, start)
+            first_revision = request.start_revision or self._database.revision + 1
+            watch = Watch(key_range, first_revision)
             self._database.add_watch(watch)
             return watch
 
@@ -70,7 +70,7 @@
     ) -> Iterator[bytes]:
         is_held = partial(self._are_events_held, label)
         progress_at = time.monotonic() + self._progress_seconds
-        while not self._control.faults.down and not call.is_abandoned():
+        while not self._fault_control.faults.down and not call.is_abandoned():
             try:
                 batch = watch.batches.get(timeout=POLL_INTERVAL_SECONDS)
             except queue.Empty:
@@ -85,8 +85,8 @@
                 yield self._encode({})
 
     def _are_events_held(self, label: str) -> bool:
-        faults = self._control.faults
-        return faults.hold_watches or self._control.is_partitioned(label)
+        faults = self._fault_control.faults
+        return faults.hold_watches or self._fault_control.is_partitioned(label)
 
     def _encode_batch(self, batch: Batch, with_previous: bool) -> bytes:
         events = [encode_change(change, with_previous) for change in batch]
