--- a/packages/bench/src/ibisport_bench/standins/memorystore.py
+++ b/packages/bench/src/ibisport_bench/standins/memorystore.py
@@ -1,4 +1,4 @@
-"""A stand-in of the key-value service in memory, with the faults it may show."""
+"""In-memory stand-in for the key-value service, with fault injection."""
 
 import asyncio
 import random
@@ -26,24 +26,24 @@
 
 ANSWER_SECONDS = 0.004
 CALL_TIMEOUT_SECONDS = 0.9
-# After so long without an answer the shipped caller tries a second way.
-FALLBACK_DELAY_SECONDS = 0.1
+# The real store client hedges on a second path after this time without an answer.
+HEDGE_DELAY_SECONDS = 0.1
 MAX_WRITE_DELAY_SECONDS = 6.0
 
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong now; all is well at first.
+    """Faults in force; none by default.
 
     Attributes:
-        down: Every call is refused, and leases stand still.
-        cut: Names of callers whose calls get no answer.
-        lose: Share of the writes that are done and not answered.
-        late: Share of the writes that are done seconds later, unanswered.
-        slow: An answer takes so many times as long.
-        second_way: A write without an answer is sent once more on another way,
+        down: Every call is refused, and leases don't expire.
+        cut: Names of the callers whose calls time out.
+        lose: Share of the writes that are applied without an answer.
+        late: Share of the writes that are applied seconds later, without an answer.
+        slow: Factor on the round-trip time of each call.
+        second_way: A write that got no answer is sent once more on a second path,
             which answers.
-        bytes_per_second: How fast answers of reads come; 0: at once.
+        bytes_per_second: Transfer rate of the answers to reads; 0 for no limit.
     """
 
     down: bool = False
@@ -56,18 +56,18 @@
 
 
 class MemoryService:
-    """What all callers share: the keys, the leases and the history.
+    """The state that all callers share: keys, leases and history.
 
     Attributes:
-        faults: What goes wrong now.
-        items: The keys.
-        revision: Of the newest write.
-        compacted_revision: The history before this revision is dropped.
-        history: All changes.
-        calls: Ways to and from the store, all callers together.
-        random: Draws the faults.
-        links: Bytes a second on callers' links, for conditional writes; a link that
-            isn't named carries them at once.
+        faults: Faults in force.
+        items: Current items by key.
+        revision: Revision of the last write.
+        compacted_revision: Watches that start before this revision are refused.
+        history: All changes, oldest first.
+        calls: Number of one-way transfers to and from the store, over all callers.
+        random: Source of the random draws of faults.
+        links: Bytes per second of each caller's link, applied to conditional writes;
+            a caller without an entry has no limit.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -85,7 +85,7 @@
         self._changed = asyncio.Event()
 
     def open_store(self, caller: str) -> 'MemoryStore':
-        """Return the service as one caller sees it."""
+        """Return the store client of a caller."""
         return MemoryStore(self, caller)
 
     def put(self, key: str, content: bytes, lease: int = 0) -> None:
@@ -102,18 +102,18 @@
         self._notify_watches()
 
     def forget_history(self) -> None:
-        """Drop the history; a watch from before is refused."""
+        """Compact the history; later watches from older revisions are refused."""
         self.compacted_revision = self.revision
 
     def grant(self, seconds: float) -> int:
-        """Return a new lease."""
+        """Create a lease and return its id."""
         lease = len(self._lease_deadlines) + 1
         self._lease_deadlines[lease] = asyncio.get_running_loop().time() + seconds
         self._lease_seconds[lease] = seconds
         return lease
 
     def renew(self, lease: int) -> bool:
-        """Let a lease last as long again; False if it has ended."""
+        """Restart the term of a lease; False if it has expired."""
         now = asyncio.get_running_loop().time()
         if self._lease_deadlines.get(lease, 0.0) <= now:
             return False
@@ -121,16 +121,16 @@
         return True
 
     def end(self, lease: int) -> None:
-        """End a lease, and remove its keys."""
+        """Revoke a lease and remove its keys."""
         self._lease_deadlines[lease] = asyncio.get_running_loop().time()
         self.expire_keys()
 
     def end_leases(self) -> None:
-        """Let all leases run out now."""
+        """Expire all leases now."""
         self._lease_deadlines = dict.fromkeys(self._lease_deadlines, 0.0)
 
     def expire_keys(self) -> None:
-        """Remove the keys whose leases have run out; none does in an outage."""
+        """Remove the keys of expired leases; none expire while the service is down."""
         now = asyncio.get_running_loop().time()
         for key, lease in tuple(self._lease_by_key.items()):
             if lease and self._lease_deadlines[lease] <= now and not self.faults.down:
@@ -145,7 +145,7 @@
         for condition in conditions:
             item = self.items.get(condition.key)
             if (item.revision if item else 0) != condition.revision:
-                keys = [one.key for one in conditions]
+                keys = [expected.key for expected in conditions]
                 return Conflict(
                     tuple(self.items[key] for key in keys if key in self.items),
                     tuple(key for key in keys if key not in self.items),
@@ -157,12 +157,12 @@
         return Written(self.revision)
 
     async def wait_for_change(self, after: int, wait: float) -> None:
-        """Wait until something was written after a revision."""
-        until = asyncio.get_running_loop().time() + wait
+        """Wait for a write after a revision, at most ``wait`` seconds."""
+        deadline = asyncio.get_running_loop().time() + wait
         while self.revision <= after:
             changed = self._changed
             try:
-                async with asyncio.timeout_at(until):
+                async with asyncio.timeout_at(deadline):
                     await changed.wait()
             except TimeoutError:
                 return
@@ -178,14 +178,14 @@
 
 
 class MemoryStore:
-    """The service as one caller sees it."""
+    """Store client of one caller."""
 
     def __init__(self, service: MemoryService, caller: str) -> None:
         self._service = service
         self._caller = caller
 
     async def read(self, key: str) -> Item | None:
-        """Return one key, or None if there is none."""
+        """Return the item of a key, or None if the key is missing."""
         await self._send_one_way()
         self._service.expire_keys()
         return self._service.items.get(key)
@@ -193,32 +193,32 @@
     async def scan(
         self, prefix: str, *, stale: bool = False, shared: bool = False
     ) -> Listing:
-        """Return all keys of a prefix; none is stale here."""
+        """Return all items of a prefix; the answer is never stale here."""
         await self._send_one_way()
         self._service.expire_keys()
         items = [
             item for key, item in self._service.items.items() if key.startswith(prefix)
         ]
-        # What changes while the answer is on its way is not in it.
+        # Writes during the transfer of the answer are not part of it.
         revision = self._service.revision
         await self._transfer_items(items)
         return Listing(tuple(items), revision)
 
     async def watch(self, prefix: str, after: int, terms: WatchOptions) -> WatchResult:
-        """Return what changed after a revision."""
+        """Return the changes of a prefix after a revision."""
         await self._send_one_way()
         if after < self._service.compacted_revision:
             raise HistoryLost(prefix)
         await self._service.wait_for_change(after, terms.wait)
         changes = tuple(
-            one
-            for one in self._service.history
-            if one.revision > after and one.key.startswith(prefix)
+            change
+            for change in self._service.history
+            if change.revision > after and change.key.startswith(prefix)
         )
         revision = self._service.revision
         await self._send_one_way()
-        written = [one for one in changes if isinstance(one, Item)]
-        size = sum(len(one.content) for one in written)
+        written = [change for change in changes if isinstance(change, Item)]
+        size = sum(len(item.content) for item in written)
         if terms.max_bytes and size > terms.max_bytes:
             raise ChangesTooLong(prefix)
         await self._transfer_items(written)
@@ -227,12 +227,12 @@
     async def write(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> Written | Conflict:
-        """Write all keys if all conditions hold, with the faults of the time."""
+        """Write all keys if all conditions hold, subject to the faults in force."""
         service = self._service
         try:
             await self._send_one_way(puts)
         except asyncio.CancelledError:
-            # The caller died; its call is on its way all the same.
+            # The caller was stopped, but its call may still reach the service.
             delay = service.random.uniform(0.0, MAX_WRITE_DELAY_SECONDS)
             loop = asyncio.get_running_loop()
             loop.call_later(delay, service.commit, list(conditions), list(puts))
@@ -246,42 +246,42 @@
         if service.random.random() < service.faults.lose:
             if not service.faults.second_way:
                 await self._time_out()
-            await asyncio.sleep(FALLBACK_DELAY_SECONDS)
+            await asyncio.sleep(HEDGE_DELAY_SECONDS)
             outcome = service.commit(conditions, puts)
         await self._send_one_way(outcome.items if isinstance(outcome, Conflict) else ())
         return outcome
 
     async def grant_lease(self, seconds: float) -> tuple[int, float]:
-        """Return a new lease and how long it lasts."""
+        """Create a lease; return its id and its term in seconds."""
         await self._send_one_way()
         lease = self._service.grant(seconds)
         await self._send_one_way()
         return lease, seconds
 
     async def renew_lease(self, lease: int) -> bool:
-        """Let a lease last as long again."""
+        """Restart the term of a lease; False if it has expired."""
         await self._send_one_way()
         renewed = self._service.renew(lease)
         await self._send_one_way()
         return renewed
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease, and with it its keys."""
+        """Revoke a lease and remove its keys."""
         await self._send_one_way()
         self._service.end(lease)
         await self._send_one_way()
 
     async def probe(self) -> bool:
-        """Whether the service answers."""
+        """Return whether the service is up."""
         return not self._service.faults.down
 
-    async def _send_one_way(self, carried: Iterable[Item | Put] = ()) -> None:
+    async def _send_one_way(self, sent: Iterable[Item | Put] = ()) -> None:
         faults = self._service.faults
         self._service.calls += 1
         seconds = ANSWER_SECONDS / 2 * faults.slow
-        link = self._service.links.get(self._caller)
-        if link is not None:
-            seconds += sum(len(one.content) for one in carried) / link
+        bandwidth = self._service.links.get(self._caller)
+        if bandwidth is not None:
+            seconds += sum(len(item.content) for item in sent) / bandwidth
         await asyncio.sleep(seconds)
         if self._caller in faults.cut:
             await self._time_out()
@@ -289,7 +289,7 @@
             raise StoreUnavailable('the store is down')
 
     async def _transfer_items(self, items: Sequence[Item]) -> None:
-        """Let an answer take as long as its size does."""
+        """Wait as long as the transfer of the items takes."""
         rate = self._service.faults.bytes_per_second
         if rate:
             await asyncio.sleep(sum(len(item.content) for item in items) / rate)
