--- a/packages/bench/src/ibisport_bench/standins/__init__.py
+++ b/packages/bench/src/ibisport_bench/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform: store, engine, service, hosts, weights."""
+"""Stand-ins for the platform's store, engine, service, hosts and weights."""
--- a/packages/bench/src/ibisport_bench/standins/errors.py
+++ b/packages/bench/src/ibisport_bench/standins/errors.py
@@ -1,22 +1,22 @@
-"""Failures inside the stand-ins; none of them reaches the product."""
+"""Errors of the stand-ins and the launcher; the product never raises them."""
 
 from ibisport_core.errors import IbisportError
 
 
 class StandinError(IbisportError):
-    """Root of the stand-ins' own failures."""
+    """Base class of the stand-ins' errors."""
 
     code = 'standin'
 
 
 class ConnectionDropped(StandinError):
-    """The connection is to be closed without any (further) answer."""
+    """Closes the connection without an answer, or in the middle of one."""
 
     code = 'connection_dropped'
 
 
 class CallRejected(StandinError):
-    """A call is answered by an error, in the manner of a gRPC gateway.
+    """Answers a call with an error, in the format of a gRPC gateway.
 
     Attributes:
         status: HTTP status.
@@ -26,7 +26,7 @@
     code = 'call_rejected'
 
     def __init__(self, message: str, status: int, grpc_code: int) -> None:
-        """Keep what the answer says."""
+        """Set the contents of the error answer."""
         super().__init__(message)
         self.message = message
         self.status = status
@@ -34,12 +34,12 @@
 
 
 class ProgramNotReady(StandinError):
-    """A program printed no ``ready`` line in time: read the end of its log."""
+    """A program printed no ``ready`` line in time; see the end of its log."""
 
     code = 'program_not_ready'
 
 
 class ProgramNotStopped(StandinError):
-    """A program did not end in time after SIGTERM; it was killed."""
+    """A program did not exit in time after SIGTERM and was killed."""
 
     code = 'program_not_stopped'
--- a/packages/bench/src/ibisport_bench/standins/hosts.py
+++ b/packages/bench/src/ibisport_bench/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging list of live and leaving hosts."""
+"""Stand-in for the platform's delayed list of live and leaving hosts."""
 
 import threading
 import time
@@ -14,7 +14,7 @@
 
 
 class HostState(StrEnum):
-    """What the platform says of a host; ``gone`` takes it off the list."""
+    """State of a host; ``gone`` removes it from the list."""
 
     live = 'live'
     leaving = 'leaving'
@@ -22,13 +22,13 @@
 
 
 class HostEntry(BaseModel):
-    """A host as posted by a test and, one lag later, as listed.
+    """A host as posted by a test and, one lag later, as listed by the platform.
 
     Attributes:
-        host: IP number or name.
-        failure_domain: Failure domain that the host is in.
+        host: IP address or name.
+        failure_domain: Failure domain of the host.
         state: ``live``, ``leaving``, or ``gone``.
-        seen_at: Unix time in seconds of the change; set by the stand-in.
+        seen_at: Unix time of the change in seconds; set by the stand-in.
     """
 
     host: str
@@ -38,10 +38,10 @@
 
 
 class HostList:
-    """Changes of hosts, each shown one lag after it was posted."""
+    """Host changes, each visible one lag after it was posted."""
 
     def __init__(self, lag_ms: float) -> None:
-        """Start without hosts; the lag is in milliseconds."""
+        """Create an empty list; the lag is in milliseconds."""
         self._lag = lag_ms / MS_PER_SECOND
         self._lock = threading.Lock()
         self._changes: list[tuple[float, HostEntry]] = []
@@ -55,42 +55,42 @@
         return answer_json(self._list_visible())
 
     def _change(self, entries: list[HostEntry]) -> None:
-        shown_at = time.monotonic() + self._lag
+        visible_at = time.monotonic() + self._lag
         with self._lock:
             for entry in entries:
                 entry.seen_at = time.time()
-                self._changes.append((shown_at, entry))
+                self._changes.append((visible_at, entry))
 
     def _list_visible(self) -> list[dict[str, object]]:
         now = time.monotonic()
         with self._lock:
-            shown = {
+            visible = {
                 entry.host: entry
-                for shown_at, entry in self._changes
-                if shown_at <= now
+                for visible_at, entry in self._changes
+                if visible_at <= now
             }
         return [
             entry.model_dump()
-            for entry in shown.values()
+            for entry in visible.values()
             if entry.state is not HostState.gone
         ]
 
 
 def make_server(port: int = 0, lag_ms: float = 2000, threads: int = 300) -> Server:
-    """Make the server of the host list.
+    """Create the server of the host list.
 
     Args:
-        port: TCP port on 127.0.0.1; 0 takes a free one.
-        lag_ms: Milliseconds after which a change is shown.
+        port: TCP port on 127.0.0.1; 0 selects a free port.
+        lag_ms: Milliseconds after which a change is visible.
         threads: Connections served at once.
     """
     return Server(HostList(lag_ms), port, threads)
 
 
 def _read_entries(call: Call) -> list[HostEntry]:
-    one_or_many = TypeAdapter(HostEntry | list[HostEntry])
+    adapter = TypeAdapter(HostEntry | list[HostEntry])
     try:
-        posted = one_or_many.validate_json(call.body)
+        posted = adapter.validate_json(call.body)
     except ValidationError as error:
         raise CallRejected(str(error), HTTPStatus.BAD_REQUEST, 3) from error
     return posted if isinstance(posted, list) else [posted]
--- a/packages/bench/src/ibisport_bench/standins/scripted.py
+++ b/packages/bench/src/ibisport_bench/standins/scripted.py
@@ -1,4 +1,4 @@
-"""A target on a loopback port that answers each request by a script."""
+"""A target on a loopback port that sends scripted replies."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What the target does with one request.
+    """Reply of the target to one request.
 
     Attributes:
-        pieces: Bytes to send, one after the other; ``{id}`` in them is replaced
-            by the request's id.
-        pause: Seconds before each piece.
-        ends: The connection is closed after them.
-        resets: The connection is reset after them.
+        pieces: Bytes to send, in order; ``{id}`` is replaced by the attempt id of
+            the request.
+        pause: Seconds to wait before each piece.
+        ends: The connection is closed after the last piece.
+        resets: The connection is reset after the last piece.
     """
 
     pieces: Sequence[bytes]
@@ -31,13 +31,14 @@
 
 @dataclass(slots=True)
 class ScriptedTarget:
-    """A target; it keeps the requests that it got.
+    """A target that records its requests.
 
     Attributes:
-        replies: One for each request, in order; the last is used again.
-        requests: What came.
-        cancelled: Requests whose connection ended before their reply did.
-        sent: Pieces of all replies that were written.
+        replies: Reply to each request, in order; the last reply is repeated.
+        requests: Received requests.
+        cancelled: Number of requests whose connection ended before their reply did.
+        sent: Number of pieces written, over all replies.
+        address: Host and port on which the target listens.
     """
 
     replies: list[Reply]
@@ -64,7 +65,7 @@
             while (request := await reader.read()) is not None:
                 await self._reply(request, channel)
         except FleetError:
-            # The router reset the connection: nothing is left to answer.
+            # The router reset the connection, so there is nothing to answer.
             return
 
     async def _reply(self, request: Request, channel: Channel) -> None:
--- a/packages/bench/src/ibisport_bench/standins/service.py
+++ b/packages/bench/src/ibisport_bench/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: any method, any path; counts its runs."""
+"""Stand-in for a plain service that accepts any call and counts its runs."""
 
 import hashlib
 import random
@@ -26,9 +26,9 @@
     """Faults in force.
 
     Attributes:
-        freeze: Calls wait before they run while connections stay open.
-        break_before_answer: Number of next calls that run without an answer.
-        fail_rate: Share of calls answered 500 before they run.
+        freeze: Calls wait before they run; their connections stay open.
+        break_before_answer: Number of following calls that run without an answer.
+        fail_rate: Share of calls that are answered with 500 before they run.
     """
 
     freeze: bool = False
@@ -40,7 +40,7 @@
     """The service as an HTTP application."""
 
     def __init__(self, slots: int, work_ms: float, seed: int) -> None:
-        """Start idle."""
+        """Create an idle service."""
         self._slots = slots
         self._work_ms = work_ms
         self._faults = ServiceFaults()
@@ -71,12 +71,12 @@
         time.sleep(self._work_ms / MS_PER_SECOND)
         with self._lock:
             self._running -= 1
-            broken = self._faults.break_before_answer > 0
-            if broken:
-                left = self._faults.break_before_answer - 1
-                update = {'break_before_answer': left}
+            is_answer_dropped = self._faults.break_before_answer > 0
+            if is_answer_dropped:
+                remaining = self._faults.break_before_answer - 1
+                update = {'break_before_answer': remaining}
                 self._faults = self._faults.model_copy(update=update)
-        if broken:
+        if is_answer_dropped:
             raise ConnectionDropped('answer broken')
         return answer_json(
             {
@@ -137,8 +137,8 @@
         except ValidationError as error:
             raise CallRejected(str(error), HTTPStatus.BAD_REQUEST, 3) from error
         with self._lock:
-            wanted = changed.model_dump(exclude_unset=True)
-            self._faults = self._faults.model_copy(update=wanted)
+            fields = changed.model_dump(exclude_unset=True)
+            self._faults = self._faults.model_copy(update=fields)
 
 
 def make_server(
@@ -148,13 +148,13 @@
     seed: int = 0,
     threads: int = 300,
 ) -> Server:
-    """Make the server of the plain service.
+    """Create the server of the plain service.
 
     Args:
-        port: TCP port on 127.0.0.1; 0 takes a free one.
-        slots: Calls running at once; further ones wait.
-        work_ms: Milliseconds of each call.
-        seed: Seed of the failures.
+        port: TCP port on 127.0.0.1; 0 selects a free port.
+        slots: Number of calls that run at once; further calls wait.
+        work_ms: Duration of each call in milliseconds.
+        seed: Seed of the random draws of failures.
         threads: Connections served at once.
     """
     return Server(ServiceApi(slots, work_ms, seed), port, threads)
--- a/packages/bench/src/ibisport_bench/standins/web.py
+++ b/packages/bench/src/ibisport_bench/standins/web.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing of the stand-ins: cheroot, one thread for each connection."""
+"""HTTP server of the stand-ins, based on cheroot with a thread per connection."""
 
 import io
 import json
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer.
+    """Complete answer.
 
     Attributes:
-        content: Body as sent.
+        content: Encoded body.
         status: HTTP status.
         content_type: Value of the Content-Type header.
     """
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """An answer sent piece by piece, in chunked transfer coding.
+    """Answer that is streamed in chunked transfer coding.
 
     Attributes:
-        pieces: Parts of the body; each is sent as soon as it is yielded.
+        pieces: Chunks of the body; each is sent as soon as it is yielded.
         content_type: Value of the Content-Type header.
     """
 
@@ -63,13 +63,13 @@
 
 
 class Call:
-    """One HTTP request as the stand-ins see it.
+    """HTTP request to a stand-in.
 
     Attributes:
-        method: HTTP method in capitals.
+        method: HTTP method in upper case.
         path: Path without the query.
-        query: Last value of each query field.
-        body: Whole body.
+        query: Last value of each query parameter.
+        body: Complete body.
     """
 
     def __init__(self, request: Any) -> None:
@@ -86,7 +86,7 @@
         return default if header is None else header.decode()
 
     def is_abandoned(self) -> bool:
-        """Tell whether the client has closed its end."""
+        """Return whether the client has closed its end of the connection."""
         poll = select.poll()
         sock = self._request.conn.socket
         poll.register(sock, select.POLLIN)
@@ -102,7 +102,7 @@
 
 
 def answer_json(value: object, status: int = HTTPStatus.OK) -> Answer:
-    """Return the value as a JSON answer."""
+    """Return an answer with a value encoded as JSON."""
     return Answer(json.dumps(value).encode(), status)
 
 
@@ -145,7 +145,7 @@
             for piece in pieces:
                 self.req.write(piece)
         finally:
-            # A generator learns of a lost client by being closed.
+            # Closing the generator makes it clean up when the client has disconnected.
             getattr(pieces, 'close', _do_nothing)()
 
     def _start(self, status: int, content_type: str) -> None:
@@ -157,7 +157,8 @@
         self.req.sent_headers = True
         self.req.chunked_write = False
         self.req.close_connection = True
-        # The client must see the end even while a thread still has the socket.
+        # Without the shutdown, the client sees no end of the connection while
+        # another thread still holds the socket.
         try:
             self.req.conn.socket.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -165,10 +166,10 @@
 
 
 class _Reader(io.BufferedReader):
-    """Reads in C; cheroot's own reader is in Python and costs more than a call."""
+    """Buffered reader in C; cheroot's Python reader costs more than serving a call."""
 
     def has_data(self) -> bool:
-        """Say no: clients of the stand-ins do not send ahead of an answer."""
+        """Return False: clients of the stand-ins don't pipeline requests."""
         return False
 
 
@@ -178,7 +179,7 @@
         self.rfile = _Reader(socket.SocketIO(sock, 'rb'))
 
     def communicate(self) -> bool:
-        # Busy connections keep their thread; idle ones go back to the selector.
+        # A busy connection keeps its thread; an idle one returns to the selector.
         while super().communicate():  # type: ignore[no-untyped-call]
             if not self._wait_for_request():
                 return True
@@ -198,11 +199,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What a program prints once it serves.
+    """Lines that a program prints once it accepts connections.
 
     Attributes:
-        word: First word of the line that tells the server's address.
-        lines: Whole lines that go before.
+        word: First word of the last line, which contains the server's address.
+        lines: Lines that are printed before it.
     """
 
     word: str = 'ready'
@@ -210,7 +211,7 @@
 
 
 class Server:
-    """A stand-in's HTTP server."""
+    """HTTP server of a stand-in."""
 
     def __init__(
         self,
@@ -219,13 +220,13 @@
         threads: int,
         ready: Ready | None = None,
     ) -> None:
-        """Keep what is to be served.
+        """Create a server without starting it.
 
         Args:
-            application: Serves each call.
-            port: TCP port on 127.0.0.1; 0 takes a free one.
+            application: Handler of each call.
+            port: TCP port on 127.0.0.1; 0 selects a free port.
             threads: Connections served at once.
-            ready: What is printed once it serves.
+            ready: Lines to print once the server accepts connections.
         """
         self._ready = ready or Ready()
         self._stopping = threading.Event()
@@ -237,21 +238,22 @@
         self._server.request_queue_size = LISTEN_BACKLOG
 
     def serve(self) -> None:
-        """Serve until SIGTERM or SIGINT, then end the process."""
+        """Serve until SIGTERM or SIGINT, then exit the process."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._stop)
-        # This starts the pool's threads, which keep a process from ending.
+        # This starts the threads of the pool, which keep the process alive.
         self._server.prepare()
         threading.Thread(target=self._server.serve, daemon=True).start()
         self._print_ready()
-        # A signal that came during a pause may reach another thread, and does not
-        # wake a main thread that waits on a lock for good: so look at intervals.
+        # A signal sent while the process is paused may be delivered to another thread
+        # and then doesn't wake a main thread that waits on a lock without a timeout,
+        # so the main thread polls.
         while not self._stopping.is_set():
             time.sleep(STOP_CHECK_INTERVAL_SECONDS)
         ending = threading.Thread(target=self._server.stop, daemon=True)
         ending.start()
         ending.join(STOP_TIMEOUT_SECONDS)
-        # Pool threads may still wait on sockets; nothing is left to be saved.
+        # Pool threads may still block on sockets, and there is no state to save.
         os._exit(0)
 
     def _print_ready(self) -> None:
@@ -266,27 +268,27 @@
 
 
 def run_server(make_server: Callable[..., Server]) -> None:
-    """Make a server by the flags of the command line and serve.
+    """Create a server from the command line's flags and serve.
 
-    Fire looks for unknown flags only when the function has returned, so this
-    must not be the function that serves.
+    Fire reports unknown flags only after the function has returned, so the
+    function that it calls must not be the one that serves.
 
     Args:
-        make_server: Its parameters are the flags.
+        make_server: Creates the server; its parameters are the flags.
     """
     server = fire.Fire(make_server, serialize=_print_nothing)
     server.serve()
 
 
 def pause_while(condition: Callable[[], object], call: Call | None = None) -> None:
-    """Wait while the condition holds.
+    """Block while a condition holds.
 
     Args:
-        condition: Asked again after each short pause.
-        call: Request to be given up when its client leaves.
+        condition: Evaluated every ``PAUSE_POLL_INTERVAL_SECONDS``.
+        call: Request whose client may disconnect meanwhile.
 
     Raises:
-        ConnectionDropped: The client left.
+        ConnectionDropped: The client disconnected.
     """
     while condition():
         if call is not None and call.is_abandoned():
@@ -295,18 +297,18 @@
 
 
 def _print_nothing(_: Server) -> None:
-    """Keep Fire from printing the server."""
+    """Prevent Fire from printing the server."""
 
 
 def _do_nothing() -> None:
-    """Stand for the missing ``close`` of a plain iterator."""
+    """Replace the ``close`` method that plain iterators lack."""
 
 
 def read_json(call: Call) -> Any:
-    """Return the body's JSON value; an empty body stands for ``{}``.
+    """Parse the body of a call as JSON; an empty body stands for ``{}``.
 
     Raises:
-        CallRejected: The body is no JSON.
+        CallRejected: The body is not valid JSON.
     """
     try:
         return json.loads(call.body or b'{}')
--- a/packages/bench/src/ibisport_bench/standins/weights.py
+++ b/packages/bench/src/ibisport_bench/standins/weights.py
@@ -22,10 +22,10 @@
 
 
 class WeightStore:
-    """Weights of one size; all fetches share one rate."""
+    """Serves weight files of equal size; all downloads share one rate."""
 
     def __init__(self, size: int, bytes_per_second: float) -> None:
-        """Set the size of each weight file and the rate shared by all."""
+        """Set the size of each weight file and the total download rate."""
         self._size = size
         self._bytes_per_second = bytes_per_second
         self._lock = threading.Lock()
@@ -45,11 +45,11 @@
     def _fetch(self, name: str) -> Iterator[bytes]:
         with self._lock:
             self._started[name] += 1
-        left = self._size
-        while left:
-            length = min(left, CHUNK_BYTES)
+        remaining = self._size
+        while remaining:
+            length = min(remaining, CHUNK_BYTES)
             time.sleep(max(0, self._reserve(length) - time.monotonic()))
-            left -= length
+            remaining -= length
             yield bytes(length)
         with self._lock:
             self._finished[name] += 1
@@ -71,12 +71,12 @@
     bytes_per_second: float = 10_000_000,
     threads: int = 300,
 ) -> Server:
-    """Make the server of the weight store.
+    """Create the server of the weight store.
 
     Args:
-        port: TCP port on 127.0.0.1; 0 takes a free one.
-        size: Bytes of each weight file.
-        bytes_per_second: Rate shared by all fetches.
+        port: TCP port on 127.0.0.1; 0 selects a free port.
+        size: Size of each weight file in bytes.
+        bytes_per_second: Rate shared by all downloads.
         threads: Connections served at once.
     """
     return Server(WeightStore(size, bytes_per_second), port, threads)
