--- a/features/standins.feature
+++ b/features/standins.feature
@@ -15,20 +15,20 @@
     And the key "balance" is "6"
     And the history shows "10, 6" for "balance"
 
-  Scenario: A lease that lapses takes its keys along
+  Scenario: An expired lease removes its keys
     Given a stand-in of the store in which "balance" is "10"
     And the key "session" is "open" under a lease of 60 seconds
-    When all leases lapse
+    When all leases expire
     Then the key "session" is missing
     And the key "balance" is "10"
-    And renewing the lease shows that it is gone
+    And renewing the lease shows that it has expired
 
-  Scenario: A lease that is not renewed lapses by itself
+  Scenario: A lease that is not renewed expires by itself
     Given a stand-in of the store in which "balance" is "10"
     And the key "session" is "open" under a lease of 1 seconds
-    Then the key "session" goes missing by itself
+    Then the key "session" disappears by itself
 
-  Scenario: A watch replays from a revision and tells of compaction
+  Scenario: A watch replays from a revision and reports compaction
     Given a stand-in of the store in which "balance" is "10"
     And another writer sets the key "balance" to "7"
     When a watch on "balance" starts at its first revision
@@ -39,14 +39,14 @@
     And a watch on "balance" starts at its first revision
     Then the watch is cancelled with that compaction
 
-  Scenario: The engine gives the same answer, whole and in pieces
+  Scenario: The engine gives the same answer with and without streaming
     Given a stand-in of the engine
-    When it is asked "what dampens low notes answer_tokens=5" whole and in pieces
-    Then both answers are the 5 words that follow from the prompt
+    When it is asked "what dampens low notes answer_tokens=5" with and without streaming
+    Then both answers are the 5 words determined by the prompt
     And both usages are 5 prompt and 5 answer tokens
     And its run log shows two finished runs of 5 tokens
 
-  Scenario: The service counts a run whose answer was broken off
+  Scenario: The service counts a run whose answer is lost
     Given a stand-in of the service that breaks off its next answer
     When the same call is sent twice
     Then the first call has no answer
@@ -55,21 +55,21 @@
   Scenario: A relay silences old connections while new ones work
     Given a stand-in of the engine
     And an answer of 400 tokens that streams through a relay
-    When the relay silences the connections of now
-    Then the stream brings nothing more
-    And a new connection through the relay brings a whole answer
+    When the relay silences the open connections
+    Then the stream receives no more data
+    And a new connection through the relay receives a complete answer
 
-  Scenario: A start is given the time in which it waited for a processor
-    Given a program that is ready later than a start may take
-    When it is started on a machine that keeps it from a processor
+  Scenario: The start timeout excludes the wait for a processor
+    Given a program that becomes ready after the start timeout
+    When it is started on a machine where it waits for a processor
     Then the start succeeds
 
-  Scenario: A start that takes too long in its own time fails
-    Given a program that is ready later than a start may take
-    When it is started on a machine with processors to spare
-    Then the start fails and its program has ended
+  Scenario: A start that exceeds its timeout fails
+    Given a program that becomes ready after the start timeout
+    When it is started on a machine with idle processors
+    Then the start fails and the program has ended
 
-  Scenario: A program that was paused ends when told to
+  Scenario: A paused program ends when it is stopped
     Given a stand-in of the engine
     And an answer of 400 tokens that streams through a relay
     When the engine is paused and then stopped
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-ins of the platform, the launcher and the relay."""
+"""Steps for the stand-ins of the platform, the launcher and the relay."""
 
 import base64
 import hashlib
@@ -17,16 +17,16 @@
 from ibisport_bench.relay import Relay
 from ibisport_bench.standins.errors import ProgramNotReady
 
-TIMEOUT = 10
-SILENCE_TIMEOUT = 3
-LAPSE_TIMEOUT = 15
-PAUSE = 0.5
-SHORT_START = 0.3
-LATE_PROGRAM = (
+TIMEOUT_SECONDS = 10
+SILENCE_TIMEOUT_SECONDS = 3
+EXPIRY_TIMEOUT_SECONDS = 15
+PAUSE_SECONDS = 0.5
+SHORT_READY_TIMEOUT_SECONDS = 0.3
+LATE_READY_PROGRAM = (
     'import time; time.sleep(1.5);'
     'print("ready 127.0.0.1:1", flush=True); time.sleep(30)'
 )
-WAITED_LONG = 1000.0
+LONG_PROCESSOR_WAIT_SECONDS = 1000.0
 CONNECTION_LOST = urllib3.exceptions.ProtocolError
 
 
@@ -37,14 +37,14 @@
         module = f'ibisport_bench.standins.{name}'
         command = [sys.executable, '-m', module, '--threads', '20', *flags]
         context.program = start_program(command, Path(folder) / 'log')
-        context.http = urllib3.PoolManager(retries=False, timeout=TIMEOUT)
+        context.http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_SECONDS)
         yield context.program
         context.program.kill()
 
 
 @fixture
 def run_relay(context):
-    """Relay to the program until the scenario ends."""
+    """Run a relay to the program until the scenario ends."""
     context.relay = Relay(context.program.address)
     yield context.relay
     context.relay.close()
@@ -98,8 +98,8 @@
         'mod_revision': context.first,
     }
     change = {'request_put': {'key': encode(key), 'value': encode(value)}}
-    look = {'request_range': {'key': encode(key)}}
-    request = {'compare': [condition], 'success': [change], 'failure': [look]}
+    lookup = {'request_range': {'key': encode(key)}}
+    request = {'compare': [condition], 'success': [change], 'failure': [lookup]}
     context.answer = post(context, '/v3/kv/txn', request).json()
 
 
@@ -150,24 +150,24 @@
     granted = post(context, '/v3/lease/grant', {'TTL': seconds}).json()
     context.lease = granted['ID']
     put(context, key, value, lease=context.lease)
-    # Before the lease lapses the key is there.
+    # The key exists until the lease expires; one second may be over by now.
     assert seconds == 1 or read(context, key) == [value]
 
 
-@when('all leases lapse')
-def lapse_leases(context):
+@when('all leases expire')
+def expire_leases(context):
     post(context, '/faults', {'expire_lease': 'all'})
 
 
-@then('the key "{key}" goes missing by itself')
-def wait_missing(context, key):
-    deadline = time.monotonic() + LAPSE_TIMEOUT
+@then('the key "{key}" disappears by itself')
+def wait_until_missing(context, key):
+    deadline = time.monotonic() + EXPIRY_TIMEOUT_SECONDS
     while read(context, key):
         assert time.monotonic() < deadline
         time.sleep(0.1)
 
 
-@then('renewing the lease shows that it is gone')
+@then('renewing the lease shows that it has expired')
 def check_lease_gone(context):
     answer = post(context, '/v3/lease/keepalive', {'ID': context.lease}).json()
     assert 'TTL' not in answer['result'], answer
@@ -208,13 +208,13 @@
     use_fixture(run_standin, context, 'engine', '--token-ms', '5')
 
 
-@when('it is asked "{prompt}" whole and in pieces')
+@when('it is asked "{prompt}" with and without streaming')
 def ask_twice(context, prompt):
     context.prompt = prompt
     request = {'model': 'any', 'prompt': prompt}
     whole = post(context, '/v1/completions', request).json()
-    pieces = post(context, '/v1/completions', {**request, 'stream': True}).data
-    events = pieces.decode().split('\n\n')
+    streamed_body = post(context, '/v1/completions', {**request, 'stream': True}).data
+    events = streamed_body.decode().split('\n\n')
     assert events[-2:] == ['data: [DONE]', '']
     chunks = [json.loads(event.removeprefix('data: ')) for event in events[:-2]]
     streamed = ''.join(chunk['choices'][0]['text'] for chunk in chunks)
@@ -222,7 +222,7 @@
     context.usages = [whole['usage'], chunks[-1]['usage']]
 
 
-@then('both answers are the {number:d} words that follow from the prompt')
+@then('both answers are the {number:d} words determined by the prompt')
 def check_answers(context, number):
     digest = hashlib.sha256(context.prompt.encode()).hexdigest()[:8]
     expected = ' '.join(f'{digest}-{index}' for index in range(number))
@@ -291,44 +291,46 @@
 @given('an answer of {tokens:d} tokens that streams through a relay')
 def stream_through_relay(context, tokens):
     use_fixture(run_relay, context)
-    context.stream = ask_through_relay(context, tokens, SILENCE_TIMEOUT).stream()
+    context.stream = ask_through_relay(
+        context, tokens, SILENCE_TIMEOUT_SECONDS
+    ).stream()
     assert next(context.stream)
 
 
-@when('the relay silences the connections of now')
+@when('the relay silences the open connections')
 def silence(context):
     context.relay.silence_existing()
 
 
-@then('the stream brings nothing more')
+@then('the stream receives no more data')
 def check_silent(context):
     try:
-        # Pieces that were under way before the silence may still come.
+        # Chunks that were in transit before the silence may still arrive.
         list(context.stream)
     except urllib3.exceptions.ReadTimeoutError:
         return
     raise AssertionError('the stream ended')
 
 
-@then('a new connection through the relay brings a whole answer')
+@then('a new connection through the relay receives a complete answer')
 def check_new_works(context):
-    pieces = ask_through_relay(context, 3, TIMEOUT).data
-    assert pieces.endswith(b'data: [DONE]\n\n'), pieces
+    streamed_body = ask_through_relay(context, 3, TIMEOUT_SECONDS).data
+    assert streamed_body.endswith(b'data: [DONE]\n\n'), streamed_body
 
 
-@given('a program that is ready later than a start may take')
-def prepare_late(context):
-    context.late = [sys.executable, '-c', LATE_PROGRAM]
+@given('a program that becomes ready after the start timeout')
+def prepare_late_program(context):
+    context.late = [sys.executable, '-c', LATE_READY_PROGRAM]
 
 
-@when('it is started on a machine that keeps it from a processor')
-def start_kept(context):
-    _start_late(context, WAITED_LONG)
+@when('it is started on a machine where it waits for a processor')
+def start_on_busy_machine(context):
+    _start_late_program(context, LONG_PROCESSOR_WAIT_SECONDS)
 
 
-@when('it is started on a machine with processors to spare')
-def start_spared(context):
-    _start_late(context, 0)
+@when('it is started on a machine with idle processors')
+def start_on_idle_machine(context):
+    _start_late_program(context, 0)
 
 
 @then('the start succeeds')
@@ -336,19 +338,19 @@
     assert context.failure is None, context.failure
 
 
-@then('the start fails and its program has ended')
+@then('the start fails and the program has ended')
 def check_start_failed(context):
     assert isinstance(context.failure, ProgramNotReady)
     assert 'exit code None' in str(context.failure), context.failure
 
 
-def _start_late(context, waited):
-    """Start the late program; the system says how long it waited for a processor."""
+def _start_late_program(context, processor_wait):
+    """Start the late program, with a given processor wait reported by the system."""
     context.failure = None
     with (
         tempfile.TemporaryDirectory() as folder,
-        mock.patch.object(launcher, 'READY_TIMEOUT', SHORT_START),
-        mock.patch.object(launcher, 'read_waited', return_value=waited),
+        mock.patch.object(launcher, 'READY_TIMEOUT', SHORT_READY_TIMEOUT_SECONDS),
+        mock.patch.object(launcher, 'read_waited', return_value=processor_wait),
     ):
         try:
             program = start_program(context.late, Path(folder) / 'log')
@@ -361,8 +363,8 @@
 @when('the engine is paused and then stopped')
 def pause_and_stop(context):
     context.program.pause()
-    # Each of its threads has to be asleep when the signal comes.
-    time.sleep(PAUSE)
+    # All threads must be stopped when the signal arrives.
+    time.sleep(PAUSE_SECONDS)
     context.code = context.program.stop()
 
 
