--- a/packages/bench/src/ibisport_bench/standins/engine/answers.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/answers.py
@@ -1,4 +1,4 @@
-"""Answers in the forms of the usual completions API."""
+"""Answers in the formats of the common completions API."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -13,32 +13,32 @@
 
 @dataclass(frozen=True, slots=True)
 class TextForm:
-    """The form of ``/v1/completions``."""
+    """Answer format of ``/v1/completions``."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChatForm:
-    """The form of ``/v1/chat/completions``."""
+    """Answer format of ``/v1/chat/completions``."""
 
 
 Form = TextForm | ChatForm
 
 
 def stream_answer(form: Form, run: Run, indexes: Iterable[int]) -> Iterator[bytes]:
-    """Yield the server-sent events of an answer; the last one has the usage."""
+    """Yield the server-sent events of an answer; the last chunk has the usage."""
     for index in indexes:
-        piece = _make_chunk(form, run, _make_word(run, index), None)
-        yield _encode_event(piece)
-    last = _make_chunk(form, run, '', _name_reason(run))
+        chunk = _make_chunk(form, run, _make_word(run, index), None)
+        yield _encode_event(chunk)
+    last = _make_chunk(form, run, '', _get_finish_reason(run))
     last['usage'] = run.describe_usage()
     yield _encode_event(last)
     yield DONE
 
 
 def make_answer(form: Form, run: Run, indexes: Iterable[int]) -> Fields:
-    """Return a whole answer, when all of its tokens are ready."""
+    """Return a complete answer once all of its tokens are generated."""
     text = ''.join(_make_word(run, index) for index in indexes)
-    reason = _name_reason(run)
+    reason = _get_finish_reason(run)
     match form:
         case TextForm():
             name = 'text_completion'
@@ -47,7 +47,7 @@
             name = 'chat.completion'
             choice = {'message': {'role': 'assistant', 'content': text}}
     choice.update({'index': 0, 'finish_reason': reason})
-    return {**_make_head(run, name, choice), 'usage': run.describe_usage()}
+    return {**_make_response(run, name, choice), 'usage': run.describe_usage()}
 
 
 def _make_chunk(form: Form, run: Run, text: str, reason: str | None) -> Fields:
@@ -59,10 +59,10 @@
             choice = {'delta': {'content': text}}
             name = 'chat.completion.chunk'
     choice.update({'index': 0, 'finish_reason': reason})
-    return _make_head(run, name, choice)
+    return _make_response(run, name, choice)
 
 
-def _make_head(run: Run, name: str, choice: Fields) -> Fields:
+def _make_response(run: Run, name: str, choice: Fields) -> Fields:
     return {
         'id': run.request_id or run.prompt.digest,
         'object': name,
@@ -77,7 +77,7 @@
     return f'{space}{run.prompt.digest}-{index}'
 
 
-def _name_reason(run: Run) -> str:
+def _get_finish_reason(run: Run) -> str:
     return 'abort' if run.cancelled else 'stop'
 
 
--- a/packages/bench/src/ibisport_bench/standins/engine/api.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/api.py
@@ -1,4 +1,4 @@
-"""Routes of the engine: completions, orders, load, cache and faults."""
+"""HTTP routes of the engine: completions, orders, load, cache and faults."""
 
 from http import HTTPStatus
 from typing import TypeVar
@@ -12,7 +12,7 @@
     make_answer,
     stream_answer,
 )
-from ibisport_bench.standins.engine.batch import MS, Batch
+from ibisport_bench.standins.engine.batch import MS_PER_SECOND, Batch
 from ibisport_bench.standins.engine.load import LoadReport
 from ibisport_bench.standins.engine.messages import (
     CacheImport,
@@ -44,11 +44,11 @@
     """The engine as an HTTP application."""
 
     def __init__(self, settings: EngineSettings) -> None:
-        """Start idle."""
+        """Create an idle engine and start sampling its load."""
         self._settings = settings
         self._batch = Batch(settings)
         self._orders = OrderBook(settings.models, settings.check_fencing)
-        self._load = LoadReport(self._batch, settings.load_lag_ms / MS)
+        self._load = LoadReport(self._batch, settings.load_lag_ms / MS_PER_SECOND)
         self._load.start()
         self._routes = {
             '/v1/completions': self._complete,
@@ -83,7 +83,7 @@
     ) -> Answer | Stream:
         if not self._orders.serves(request.model):
             raise CallRejected('no such model', HTTPStatus.NOT_FOUND, NOT_FOUND)
-        if self._batch.fails():
+        if self._batch.draw_failure():
             raise CallRejected('failed', HTTPStatus.INTERNAL_SERVER_ERROR, INTERNAL)
         run = Run(
             request_id=call.get_header('X-Request-Id'),
@@ -97,8 +97,8 @@
         return answer_json(make_answer(form, run, indexes))
 
     def _cancel(self, call: Call) -> Answer:
-        found = self._batch.cancel(_validate(CancelRequest, call).request_id)
-        return answer_json({'cancelled': found})
+        cancelled = self._batch.cancel(_validate(CancelRequest, call).request_id)
+        return answer_json({'cancelled': cancelled})
 
     def _show_load(self, call: Call) -> Answer:
         return answer_json({**self._load.describe(), 'slots': self._settings.slots})
@@ -124,7 +124,7 @@
 
     def _serve_orders(self, call: Call) -> Answer:
         if call.method == 'POST':
-            self._orders.carry_out(_validate(Order, call))
+            self._orders.execute(_validate(Order, call))
         return answer_json(self._orders.list_orders())
 
     def _show_models(self, call: Call) -> Answer:
@@ -134,8 +134,8 @@
     def _serve_faults(self, call: Call) -> Answer:
         if call.method == 'POST':
             changed = _validate(EngineFaults, call)
-            wanted = changed.model_dump(exclude_unset=True)
-            self._batch.faults = self._batch.faults.model_copy(update=wanted)
+            fields = changed.model_dump(exclude_unset=True)
+            self._batch.faults = self._batch.faults.model_copy(update=fields)
         return answer_json(self._batch.faults.model_dump())
 
 
--- a/packages/bench/src/ibisport_bench/standins/engine/batch.py
+++ b/packages/bench/src/ibisport_bench/standins/engine/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: a queue by priority, slots, prefill and steps."""
+"""Continuous batching: priority queue, slots, prefill and decoding steps."""
 
 import heapq
 import itertools
@@ -14,26 +14,26 @@
 from ibisport_bench.standins.errors import ConnectionDropped
 from ibisport_bench.standins.web import Call, pause_while
 
-WAIT_STEP = 0.1
-MS = 1000
+POLL_INTERVAL_SECONDS = 0.1
+MS_PER_SECOND = 1000
 
 
 class Batch:
     """The running and waiting requests of the engine.
 
     Attributes:
-        cache: Prefix cache.
+        cache: Prefix cache of the engine.
         faults: Faults in force.
-        runs: Runs in order of start.
+        runs: All runs that got a slot, in order of start.
     """
 
     def __init__(self, settings: EngineSettings) -> None:
-        """Start idle."""
+        """Create an idle batch."""
         self._settings = settings
         self.faults = EngineFaults()
         self.cache = PrefixCache(
             settings.cache_tokens,
-            settings.event_lag_ms / MS,
+            settings.event_lag_ms / MS_PER_SECOND,
             settings.event_loss,
             settings.seed,
         )
@@ -41,31 +41,31 @@
         self.emitted = 0
         self._random = random.Random(settings.seed)
         self._changed = threading.Condition()
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._waiting: list[tuple[int, int, Run]] = []
         self._running: set[Run] = set()
         self._prefilled_at = 0.0
 
-    def fails(self) -> bool:
-        """Draw whether the next request fails before it runs."""
+    def draw_failure(self) -> bool:
+        """Return whether the next request fails, drawn at random."""
         with self._changed:
             return self._random.random() < self.faults.fail_rate
 
     def generate(self, call: Call, run: Run) -> Iterator[int]:
-        """Yield the index of each token when it is ready.
+        """Yield the index of each token as soon as it is generated.
 
         Raises:
-            ConnectionDropped: The client left, or the answer is to break.
+            ConnectionDropped: The client disconnected, or the answer must break off.
         """
         try:
-            self._enter(call, run)
+            self._admit(call, run)
             self._prefill(call, run)
             yield from self._decode(call, run)
         finally:
-            self._leave(run)
+            self._release(run)
 
     def cancel(self, request_id: str) -> int:
-        """Stop all runs of a request and return how many there were."""
+        """Cancel all runs of a request and return their number."""
         with self._changed:
             waiting = [run for _, _, run in self._waiting]
             found = [
@@ -79,12 +79,15 @@
         return len(found)
 
     def count(self) -> tuple[int, int]:
-        """Return the numbers of running and of waiting requests."""
+        """Return the numbers of running and waiting requests."""
         with self._changed:
             return len(self._running), len(self._waiting)
 
-    def take_break(self) -> int | None:
-        """Return after how many tokens this answer breaks, if it does."""
+    def consume_break(self) -> int | None:
+        """Return the number of tokens after which this answer breaks off, or None.
+
+        The fault applies to one answer only, so it is cleared.
+        """
         with self._changed:
             break_after = self.faults.break_after_tokens
             if break_after is not None:
@@ -93,31 +96,31 @@
                 )
             return break_after
 
-    def _enter(self, call: Call, run: Run) -> None:
-        place = (run.priority, next(self._numbers), run)
+    def _admit(self, call: Call, run: Run) -> None:
+        queue_entry = (run.priority, next(self._sequence), run)
         with self._changed:
-            heapq.heappush(self._waiting, place)
+            heapq.heappush(self._waiting, queue_entry)
             try:
-                self._wait_for_slot(call, place)
+                self._wait_for_slot(call, queue_entry)
             finally:
-                self._waiting.remove(place)
+                self._waiting.remove(queue_entry)
                 heapq.heapify(self._waiting)
             if not run.cancelled:
-                run.start()
+                run.record_start()
                 self.runs.append(run)
                 self._running.add(run)
             self._changed.notify_all()
 
-    def _wait_for_slot(self, call: Call, place: tuple[int, int, Run]) -> None:
+    def _wait_for_slot(self, call: Call, queue_entry: tuple[int, int, Run]) -> None:
         slots = self._settings.slots
-        while len(self._running) >= slots or self._waiting[0] is not place:
-            if place[-1].cancelled:
+        while len(self._running) >= slots or self._waiting[0] is not queue_entry:
+            if queue_entry[-1].cancelled:
                 return
-            self._changed.wait(WAIT_STEP)
+            self._changed.wait(POLL_INTERVAL_SECONDS)
             if call.is_abandoned():
                 raise ConnectionDropped('client left')
 
-    def _leave(self, run: Run) -> None:
+    def _release(self, run: Run) -> None:
         with self._changed:
             run.cancelled = not run.finished
             self._running.discard(run)
@@ -126,7 +129,7 @@
     def _prefill(self, call: Call, run: Run) -> None:
         if run.cancelled:
             return
-        cached = self.cache.use(run.prompt.text)
+        cached = self.cache.add_prompt(run.prompt.text)
         uncached = max(0, run.prompt.tokens - cached)
         work = uncached / self._settings.prefill_tokens_per_second
         with self._changed:
@@ -136,13 +139,14 @@
         self._wait_until(call, ready_at)
 
     def _decode(self, call: Call, run: Run) -> Iterator[int]:
-        break_after = self.take_break()
+        break_after = self.consume_break()
         ready_at = time.monotonic()
         for index in range(run.prompt.answer_tokens):
             if index == break_after:
                 raise ConnectionDropped('answer broken')
-            step = self._settings.token_ms / MS * self.faults.slow_factor
-            # A late thread catches up; after a freeze the pace starts anew.
+            step = self._settings.token_ms / MS_PER_SECOND * self.faults.slow_factor
+            # A thread that is up to a step late catches up; after a longer delay, such
+            # as a freeze, the schedule restarts.
             ready_at = max(ready_at, time.monotonic() - step) + step
             self._wait_until(call, ready_at)
             if run.cancelled:
