--- a/features/steps/money_evidence.py
+++ b/features/steps/money_evidence.py
@@ -149,7 +149,7 @@
             if router.is_running():
                 assert router.stop() == 0
     breaches = check_all(context.callers.read_evidence(stranded), closed)
-    assert not breaches, '\n'.join(f'{one.promise}: {one.detail}' for one in breaches)
+    assert not breaches, '\n'.join(f'{one.invariant}: {one.detail}' for one in breaches)
 
 
 def wait_recovered(context, session, seconds=20.0):
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -210,7 +210,7 @@
 def check_billed_once(context):
     evidence = context.callers.read_evidence()
     calls = context.answers
-    due = bound_request(calls, evidence.find_runs(calls[0])).most
+    due = bound_request(calls, evidence.find_runs(calls[0])).max_tokens
     wait_until(lambda: read_account(context.site).spent >= due, 10, 'the settlement')
     time.sleep(1)
     assert read_account(context.site).spent == due, (due, read_account(context.site))
--- a/features/steps/shutdowns_steps.py
+++ b/features/steps/shutdowns_steps.py
@@ -332,7 +332,7 @@
 def end_under_loan(context):
     async def play():
         world, other = await start_world(context)
-        caller = asyncio.create_task(world.borrow(other, REQUEST_TOKENS))
+        caller = asyncio.create_task(world.reserve(other, REQUEST_TOKENS))
         await asyncio.sleep(LINK_SECONDS * 1.5)
         caller.cancel()
         await end_process(context, world, other)
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -347,8 +347,8 @@
     context.failure = None
     with (
         tempfile.TemporaryDirectory() as folder,
-        mock.patch.object(launcher, 'READY_TIMEOUT', SHORT_START),
-        mock.patch.object(launcher, 'read_waited', return_value=waited),
+        mock.patch.object(launcher, 'READY_TIMEOUT_SECONDS', SHORT_START),
+        mock.patch.object(launcher, 'read_run_queue_wait', return_value=waited),
     ):
         try:
             program = start_program(context.late, Path(folder) / 'log')
--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -28,7 +28,7 @@
 LATEST_SEND_S = 3.0
 LAST_SHARE = 1 / 6
 TOKENS = 'Token-Usage: 90,10\r\n'
-LINKS = (Link(), Link(delay=0.05), Link(rate=20_000.0, room=16_384))
+LINKS = (Link(), Link(delay=0.05), Link(rate=20_000.0, buffer_bytes=16_384))
 # A call of the store takes 5 ms, 50 ms or 0.4 s.
 SLOWNESSES = (1.0, 10.0, 80.0)
 
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -29,7 +29,7 @@
 UNCERTAIN = frozenset((500, 502, 504))
 # Calls of the store take 2 s each way: no request waits for so long.
 STORE_SLOWNESS = 1_000.0
-SLOW_LINK = Link(rate=50_000.0, room=16_384)
+SLOW_LINK = Link(rate=50_000.0, buffer_bytes=16_384)
 SLOW_SIZE = 200_000
 
 
--- a/features/steps/virtualnet_steps.py
+++ b/features/steps/virtualnet_steps.py
@@ -68,7 +68,7 @@
 
 @given('a link that buffers {size:d} bytes')
 def define_small_link(context, size):
-    context.link = Link(room=size)
+    context.link = Link(buffer_bytes=size)
 
 
 @when('{size:d} bytes are sent over it and the connection is closed')
@@ -110,7 +110,7 @@
 @then('the sender had to wait and the reader receives all bytes')
 def check_wait(context):
     assert context.received_while_paused == 0 and context.sender.pause_count == 1
-    assert context.buffered == 200_000 - context.link.room, context.buffered
+    assert context.buffered == 200_000 - context.link.buffer_bytes, context.buffered
     assert len(context.reader.received) == 200_000, len(context.reader.received)
     assert context.sender.transport.get_write_buffer_size() == 0
 
--- a/packages/bench/src/ibisport_bench/budgetworld.py
+++ b/packages/bench/src/ibisport_bench/budgetworld.py
@@ -45,7 +45,7 @@
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
 
-class _Links:
+class _PeerClient:
     """The way from one host to the others."""
 
     def __init__(self, world: 'BudgetWorld', name: str) -> None:
@@ -96,7 +96,7 @@
         """
         self.service = MemoryService(seed)
         self.delivered = 0
-        self.delivered_by: Counter[str] = Counter()
+        self.delivered_by_host: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
         self.apart: set[str] = set()
         self.lose_loans = 0.0
@@ -105,7 +105,7 @@
             self.workspace,
             *(Workspace(f'acme-{one}', None, budget) for one in range(1, workspaces)),
         ]
-        self._spent: Counter[str] = Counter()
+        self._delivered_by_workspace: Counter[str] = Counter()
         self._log = EventLog(os.open(os.devnull, os.O_WRONLY))
         self._view = CatalogueView('', self._decode, self._log)
         self._view.current = self._build_catalogue()
@@ -132,7 +132,7 @@
     def overspent(self) -> int:
         """Tokens that callers got, or may have got, beyond the budgets."""
         return sum(
-            max(0, self._spent[one.name] - (one.budget or 0))
+            max(0, self._delivered_by_workspace[one.name] - (one.budget or 0))
             for one in self._workspaces
         )
 
@@ -147,7 +147,7 @@
                 )
         return counted - self.delivered
 
-    def takes(self, number: int) -> bool:
+    def is_running(self, number: int) -> bool:
         """Whether a process runs on a host."""
         return self._hosts[number % len(self._hosts)].budgets is not None
 
@@ -169,7 +169,7 @@
             store,
             self._view,
             self._log,
-            _Links(self, host.name),
+            _PeerClient(self, host.name),
             Clocks(boot=time, wall=time, boot_id=f'{host.name} {host.boots}'),
         )
         self._spawn(host, members.run())
@@ -255,7 +255,7 @@
         if host.budgets is not None:
             self._spawn(host, self._serve(host, workspace, tokens, share, seconds))
 
-    async def borrow(self, number: int, tokens: int) -> None:
+    async def reserve(self, number: int, tokens: int) -> None:
         """Reserve tokens for a request at a host, and never run it."""
         budgets = self._hosts[number % len(self._hosts)].budgets
         if budgets is not None:
@@ -278,17 +278,17 @@
             self.outcomes['spent' if short.retry_after is None else 'short'] += 1
             return
         # Until it has ended nobody can tell how much of it was delivered.
-        self._count(host, workspace, tokens)
+        self._record_delivered(host, workspace, tokens)
         await asyncio.sleep(seconds)
         held.spent = int(tokens * share)
         budgets.settle(held)
-        self._count(host, workspace, held.spent - tokens)
+        self._record_delivered(host, workspace, held.spent - tokens)
         self.outcomes['served'] += 1
 
-    def _count(self, host: Host, workspace: Workspace, tokens: int) -> None:
+    def _record_delivered(self, host: Host, workspace: Workspace, tokens: int) -> None:
         self.delivered += tokens
-        self.delivered_by[host.name] += tokens
-        self._spent[workspace.name] += tokens
+        self.delivered_by_host[host.name] += tokens
+        self._delivered_by_workspace[workspace.name] += tokens
 
     def _spawn(self, host: Host, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
--- a/packages/bench/src/ibisport_bench/caller.py
+++ b/packages/bench/src/ibisport_bench/caller.py
@@ -7,7 +7,7 @@
 import urllib3
 
 CHAT_PATH = '/v1/chat/completions'
-_CALL_SECONDS = 60.0
+_CALL_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
             f'{url}{path}',
             body=body,
             headers=sent,
-            timeout=_CALL_SECONDS,
+            timeout=_CALL_TIMEOUT_SECONDS,
             retries=False,
         )
     except urllib3.exceptions.HTTPError:
--- a/packages/bench/src/ibisport_bench/demo.py
+++ b/packages/bench/src/ibisport_bench/demo.py
@@ -17,10 +17,10 @@
 from ibisport_bench.site import MODEL, Site, SitePlan, WorkspacePlan
 from ibisport_core.entries import TargetState
 
-_AT_ONCE = 12
+_MAX_CONCURRENT_CALLS = 12
 _SETTLE_SECONDS = 3.0
-_KEEP_SECONDS = 3600.0
-_ROUNDS = 12
+_KEEP_RUNNING_SECONDS = 3600.0
+_REQUESTS_PER_WORKSPACE = 12
 _WALK_IN_TOKENS = 300
 _DRAIN_SECONDS = 2.0
 _PLAN = SitePlan(
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
+class _CallResult:
     workspace: str
     answer: CallerAnswer
 
@@ -51,48 +51,52 @@
             site: A started site.
         """
         self._site = site
-        self._asked: list[_Asked] = []
+        self._results: list[_CallResult] = []
 
     def run(self) -> None:
         """Ask, top up, drain, and print what came of it."""
-        self._say('three workspaces ask through two routers')
-        self._ask_round('first')
-        self._say('the walk-in counter has used its budget up: top it up')
+        self._print_progress('three workspaces ask through two routers')
+        self._run_round('first')
+        self._print_progress('the walk-in counter has used its budget up: top it up')
         self._site.operator.top_up('walk-in', 'main', 100_000, 'demo-payment')
-        self._ask_round('second')
+        self._run_round('second')
         self._drain('engine-0')
-        self._ask_round('third')
-        self._say(f'engine-0 has run {self._count_runs("engine-0")} requests since')
+        self._run_round('third')
+        self._print_progress(
+            f'engine-0 has run {self._count_runs("engine-0")} requests since'
+        )
         self._print_table()
 
-    def _ask_round(self, name: str) -> None:
-        with ThreadPoolExecutor(_AT_ONCE) as pool:
+    def _run_round(self, name: str) -> None:
+        with ThreadPoolExecutor(_MAX_CONCURRENT_CALLS) as pool:
             jobs = [
-                pool.submit(self._ask, plan.name, f'{name} {number}', number)
-                for number in range(_ROUNDS)
+                pool.submit(self._send_request, plan.name, f'{name} {number}', number)
+                for number in range(_REQUESTS_PER_WORKSPACE)
                 for plan in self._site.plan.workspaces
             ]
             answers = [job.result() for job in jobs]
-        self._asked += answers
+        self._results += answers
         refused = Counter(
             one.answer.error_code for one in answers if one.answer.error_code
         )
         served = len(answers) - refused.total()
-        self._say(f'{name} round: {served} served, refused {dict(refused)}')
+        self._print_progress(f'{name} round: {served} served, refused {dict(refused)}')
 
-    def _ask(self, workspace: str, topic: str, number: int) -> _Asked:
+    def _send_request(self, workspace: str, topic: str, number: int) -> _CallResult:
         router = self._site.routers[number % len(self._site.routers)]
         prompt = f'read the faded caption {topic} answer_tokens={20 + number}'
         body = make_chat(MODEL, prompt, stream=number % 2 == 0, max_tokens=64)
         answer = call_router(router.url, f'key-{workspace}', CHAT_PATH, body)
-        return _Asked(workspace, answer)
+        return _CallResult(workspace, answer)
 
     def _drain(self, name: str) -> None:
         before = self._count_runs(name)
         self._site.operator.set_target_state(name, TargetState.draining)
         time.sleep(_DRAIN_SECONDS)
         settled = self._count_runs(name)
-        self._say(f'{name} drains: it ran {before} requests, {settled} when drained')
+        self._print_progress(
+            f'{name} drains: it ran {before} requests, {settled} when drained'
+        )
 
     def _count_runs(self, name: str) -> int:
         url = self._site.targets[name].program.url
@@ -101,7 +105,7 @@
     def _print_table(self) -> None:
         time.sleep(_SETTLE_SECONDS)
         asked: dict[str, list[CallerAnswer]] = defaultdict(list)
-        for one in self._asked:
+        for one in self._results:
             asked[one.workspace].append(one.answer)
         _print_row(('workspace', 'asked', 'got', 'tokens got', 'paid', 'left'))
         for workspace, answers in asked.items():
@@ -111,7 +115,7 @@
             left = account.topped_up - account.spent
             _print_row((workspace, len(answers), len(got), tokens, account.spent, left))
 
-    def _say(self, text: str) -> None:
+    def _print_progress(self, text: str) -> None:
         print(f'-- {text}', flush=True)
 
 
@@ -124,12 +128,12 @@
         site.start()
         Demo(site).run()
         if os.environ.get('KEEP'):
-            _keep(site)
+            _keep_running(site)
     finally:
         site.stop()
 
 
-def _keep(site: Site) -> None:
+def _keep_running(site: Site) -> None:
     body = make_chat(MODEL, 'hello answer_tokens=30', stream=True).decode()
     router = site.routers[0]
     print(
@@ -138,7 +142,7 @@
         flush=True,
     )
     try:
-        time.sleep(_KEEP_SECONDS)
+        time.sleep(_KEEP_RUNNING_SECONDS)
     except KeyboardInterrupt:
         print('-- stopped')
 
--- a/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
@@ -93,7 +93,7 @@
 
     def _list_ready(self) -> list[int]:
         oldest = asyncio.get_running_loop().time() - NOTICED_SECONDS
-        running = [one for one in range(HOSTS) if self.world.takes(one)]
+        running = [one for one in range(HOSTS) if self.world.is_running(one)]
         ready = [one for one in running if self._left_at.get(one, oldest) >= oldest]
         return ready or running
 
--- a/packages/bench/src/ibisport_bench/invariants.py
+++ b/packages/bench/src/ibisport_bench/invariants.py
@@ -20,10 +20,10 @@
 
 BUDGET_PREFIX = '/ibisport/budget/'
 DID_NOT_RUN = 'did_not_run'
-_DONE = b'data: [DONE]\n\n'
-_EVENT = b'data: '
-_OK = 200
-_SERVICE_COST = 1
+_DONE_EVENT = b'data: [DONE]\n\n'
+_EVENT_PREFIX = b'data: '
+_OK_STATUS = 200
+_SERVICE_COST_TOKENS = 1
 
 Fields = dict[str, Any]
 
@@ -64,7 +64,7 @@
     @property
     def streamed(self) -> bool:
         """Whether server-sent events came."""
-        return self.body.startswith(_EVENT)
+        return self.body.startswith(_EVENT_PREFIX)
 
     @property
     def documents(self) -> list[Fields]:
@@ -72,7 +72,7 @@
         if not self.streamed:
             return [_parse(self.body)] if self.body else []
         parts = self.body.split(b'\n\n')[:-1]
-        texts = [part.removeprefix(_EVENT) for part in parts]
+        texts = [part.removeprefix(_EVENT_PREFIX) for part in parts]
         return [_parse(text) for text in texts if text != b'[DONE]']
 
     @property
@@ -84,9 +84,9 @@
     @property
     def looks_whole(self) -> bool:
         """Whether a caller would take this for the whole answer."""
-        if self.status != _OK or self.broken or self.left or self.error:
+        if self.status != _OK_STATUS or self.broken or self.left or self.error:
             return False
-        return self.body.endswith(_DONE) or not self.streamed
+        return self.body.endswith(_DONE_EVENT) or not self.streamed
 
     @property
     def text(self) -> list[str]:
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class InvariantViolation:
     """A promise that did not hold.
 
     Attributes:
@@ -108,20 +108,22 @@
         detail: What speaks against it.
     """
 
-    promise: str
+    invariant: str
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class CostBounds:
     """The least and the most that requests may have cost, in tokens."""
 
-    least: int = 0
-    most: int = 0
+    min_tokens: int = 0
+    max_tokens: int = 0
 
-    def __add__(self, other: 'Bounds') -> 'Bounds':
+    def __add__(self, other: 'CostBounds') -> 'CostBounds':
         """Return the bounds of both together."""
-        return Bounds(self.least + other.least, self.most + other.most)
+        return CostBounds(
+            self.min_tokens + other.min_tokens, self.max_tokens + other.max_tokens
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,13 +144,13 @@
     history: Sequence[Fields] = ()
     received: Sequence[Received] = ()
     stranded: bool = False
-    _by_content: dict[str, list[Fields]] = field(default_factory=dict)
+    _runs_by_content: dict[str, list[Fields]] = field(default_factory=dict)
 
     def find_runs(self, one: Received) -> list[Fields]:
         """Return the runs of a request at all targets."""
-        if not self._by_content:
-            self._by_content.update(self._group_runs())
-        return self._by_content.get(one.content_hash, [])
+        if not self._runs_by_content:
+            self._runs_by_content.update(self._group_runs())
+        return self._runs_by_content.get(one.content_hash, [])
 
     def group_received(self) -> dict[str, list[Received]]:
         """Return the calls by request."""
@@ -172,7 +174,7 @@
     return [f'{head}-{number}' for number in range(count)]
 
 
-def check_all(evidence: Evidence, closed: bool = True) -> list[Breach]:
+def check_all(evidence: Evidence, closed: bool = True) -> list[InvariantViolation]:
     """Return every breach of every promise.
 
     Args:
@@ -189,29 +191,29 @@
     return [*found, *check_bill(evidence)] if closed else found
 
 
-def check_accounts(history: Iterable[Fields]) -> list[Breach]:
+def check_accounts(history: Iterable[Fields]) -> list[InvariantViolation]:
     """Check each committed version of each account.
 
     Args:
         history: Changes in order of commit.
     """
-    found: list[Breach] = []
+    found: list[InvariantViolation] = []
     before: dict[str, Fields] = {}
     for key, revision, account in _list_versions(history):
         place = f'{key} at {revision}'
         found += _check_version(place, account)
         if key in before:
-            found += _check_step(place, before[key], account)
+            found += _check_transition(place, before[key], account)
         before[key] = account
     return found
 
 
-def check_answers(received: Iterable[Received]) -> list[Breach]:
+def check_answers(received: Iterable[Received]) -> list[InvariantViolation]:
     """Check that answers are whole and the caller's own, or typed failures."""
     return [breach for one in received for breach in _check_answer(one)]
 
 
-def check_refusals(evidence: Evidence) -> list[Breach]:
+def check_refusals(evidence: Evidence) -> list[InvariantViolation]:
     """Check that what is said not to have run did not run.
 
     A refused call of a request that was called again counts when all of its
@@ -222,33 +224,41 @@
         denied = [one.error.get('statement') == DID_NOT_RUN for one in calls]
         runs = evidence.find_runs(calls[0])
         if all(denied) and runs:
-            found.append(Breach('did not run', f'{calls[0].error} but {runs}'))
+            found.append(
+                InvariantViolation('did not run', f'{calls[0].error} but {runs}')
+            )
     return found
 
 
-def check_single_runs(evidence: Evidence) -> list[Breach]:
+def check_single_runs(evidence: Evidence) -> list[InvariantViolation]:
     """Check that a request that is not idempotent ran at most once."""
     found = []
     for calls in evidence.group_received().values():
         runs = evidence.find_runs(calls[0])
         if not all(one.idempotent for one in calls) and len(runs) > 1:
-            found.append(Breach('runs at most once', f'{len(runs)} runs: {runs}'))
+            found.append(
+                InvariantViolation('runs at most once', f'{len(runs)} runs: {runs}')
+            )
     return found
 
 
-def check_bill(evidence: Evidence) -> list[Breach]:
+def check_bill(evidence: Evidence) -> list[InvariantViolation]:
     """Check that the closed accounts hold what the requests cost, once."""
     accounts = read_accounts(evidence.history)
     billed = sum(one['closed_spent'] for one in accounts.values())
     due = bound_bill(evidence)
-    least = 0 if evidence.stranded else due.least
+    least = 0 if evidence.stranded else due.min_tokens
     found = [
-        Breach('all sessions are closed', f'{key} holds {account["grants"]}')
+        InvariantViolation(
+            'all sessions are closed', f'{key} holds {account["grants"]}'
+        )
         for key, account in accounts.items()
         if account['grants'] and not evidence.stranded
     ]
-    if not least <= billed <= due.most:
-        found.append(Breach('billed once', f'{billed} billed, due is {due}'))
+    if not least <= billed <= due.max_tokens:
+        found.append(
+            InvariantViolation('billed once', f'{billed} billed, due is {due}')
+        )
     return found
 
 
@@ -257,14 +267,14 @@
     return {key: account for key, _, account in _list_versions(history)}
 
 
-def bound_bill(evidence: Evidence) -> Bounds:
+def bound_bill(evidence: Evidence) -> CostBounds:
     """Return what all requests together may have cost."""
     requests = evidence.group_received().values()
     bounds = [bound_request(calls, evidence.find_runs(calls[0])) for calls in requests]
-    return sum(bounds, start=Bounds())
+    return sum(bounds, start=CostBounds())
 
 
-def bound_request(calls: Sequence[Received], runs: Sequence[Fields]) -> Bounds:
+def bound_request(calls: Sequence[Received], runs: Sequence[Fields]) -> CostBounds:
     """Return what one request may have cost.
 
     Args:
@@ -273,16 +283,16 @@
     """
     delivered = any(one.looks_whole for one in calls)
     if not calls[0].prompt:
-        ran = _SERVICE_COST if runs else 0
-        return Bounds(ran if delivered else 0, ran)
-    whole = max((_count(run) for run in runs if run['finished']), default=0)
+        ran = _SERVICE_COST_TOKENS if runs else 0
+        return CostBounds(ran if delivered else 0, ran)
+    whole = max((_count_tokens(run) for run in runs if run['finished']), default=0)
     if delivered:
-        return Bounds(whole, whole)
+        return CostBounds(whole, whole)
     if any(one.left for one in calls):
         got = max(len(one.text) for one in calls)
-        most = max((_count(run) for run in runs), default=0)
-        return Bounds(min(got, most), most)
-    return Bounds(0, whole)
+        most = max((_count_tokens(run) for run in runs), default=0)
+        return CostBounds(min(got, most), most)
+    return CostBounds(0, whole)
 
 
 def _list_versions(history: Iterable[Fields]) -> Iterator[tuple[str, int, Fields]]:
@@ -292,54 +302,68 @@
             yield key, change['revision'], orjson.loads(change['value'])
 
 
-def _check_version(place: str, account: Fields) -> list[Breach]:
+def _check_version(place: str, account: Fields) -> list[InvariantViolation]:
     grants = account['grants'].values()
     held = sum(grant['granted'] for grant in grants)
     found = []
     if account['closed_spent'] + held > account['topped_up']:
-        found.append(Breach('never overspent', f'{place}: {account}'))
+        found.append(InvariantViolation('never overspent', f'{place}: {account}'))
     if any(grant['spent'] > grant['granted'] for grant in grants):
-        found.append(Breach('spent within the grant', f'{place}: {account}'))
+        found.append(
+            InvariantViolation('spent within the grant', f'{place}: {account}')
+        )
     return found
 
 
-def _check_step(place: str, before: Fields, after: Fields) -> list[Breach]:
+def _check_transition(
+    place: str, before: Fields, after: Fields
+) -> list[InvariantViolation]:
     found = []
     for name in ('topped_up', 'closed_spent'):
         if after[name] < before[name]:
-            found.append(Breach('cumulative', f'{place}: {name} went back'))
+            found.append(InvariantViolation('cumulative', f'{place}: {name} went back'))
     for session, grant in before['grants'].items():
         later = after['grants'].get(session, grant)
         for name in ('spent', 'floor', 'sequence'):
             if later[name] < grant[name]:
-                found.append(Breach('cumulative', f'{place}: {name} of {session}'))
+                found.append(
+                    InvariantViolation('cumulative', f'{place}: {name} of {session}')
+                )
     return found
 
 
-def _check_answer(one: Received) -> list[Breach]:
+def _check_answer(one: Received) -> list[InvariantViolation]:
     if one.broken or one.left:
         whole = expect_words(one.prompt, one.words)
         if one.prompt and one.text != whole[: len(one.text)]:
-            return [Breach('own answer', f'{one.prompt}: {one.text}')]
+            return [InvariantViolation('own answer', f'{one.prompt}: {one.text}')]
         return []
     if one.looks_whole:
-        return _check_whole(one)
+        return _check_whole_answer(one)
     if not one.error.get('code') or not one.error.get('statement'):
-        return [Breach('typed error', f'{one.prompt}{one.path}: {one.body[-200:]!r}')]
+        return [
+            InvariantViolation(
+                'typed error', f'{one.prompt}{one.path}: {one.body[-200:]!r}'
+            )
+        ]
     return []
 
 
-def _check_whole(one: Received) -> list[Breach]:
+def _check_whole_answer(one: Received) -> list[InvariantViolation]:
     if one.prompt:
         right = one.text == expect_words(one.prompt, one.words)
     else:
         echoed = hashlib.sha256(one.sent).hexdigest()
         right = one.documents[0]['body_hash'] == echoed
     name = f'{one.prompt}{one.path}'
-    return [] if right else [Breach('whole answer', f'{name}: {one.body[-200:]!r}')]
+    return (
+        []
+        if right
+        else [InvariantViolation('whole answer', f'{name}: {one.body[-200:]!r}')]
+    )
 
 
-def _count(run: Fields) -> int:
+def _count_tokens(run: Fields) -> int:
     return int(run['prompt_tokens'] + run['completion_tokens'])
 
 
--- a/packages/bench/src/ibisport_bench/launcher.py
+++ b/packages/bench/src/ibisport_bench/launcher.py
@@ -15,15 +15,15 @@
 
 # Seconds of a program's own time, without those in which it waited for a processor:
 # a busy machine must not decide whether a start failed.
-READY_TIMEOUT = 20
+READY_TIMEOUT_SECONDS = 20
 # Seconds after which a start has failed on any machine.
-READY_GUARD = 120
-STOP_TIMEOUT = 20
-KILL_TIMEOUT = 10
-POLL_INTERVAL = 0.02
-NANOSECONDS = 1e9
+MAX_START_SECONDS = 120
+STOP_TIMEOUT_SECONDS = 20
+KILL_TIMEOUT_SECONDS = 10
+POLL_INTERVAL_SECONDS = 0.02
+NANOSECONDS_PER_SECOND = 1e9
 READY_WORD = 'ready'
-LOG_TAIL = 2000
+LOG_TAIL_CHARACTERS = 2000
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
         """
         return _find_address(self.log_path, word)
 
-    def wait_address(self, word: str, timeout: float = READY_TIMEOUT) -> str:
+    def wait_address(self, word: str, timeout: float = READY_TIMEOUT_SECONDS) -> str:
         """Return the address of a further line once it is printed.
 
         Raises:
@@ -67,9 +67,9 @@
     def kill(self) -> None:
         """End the program at once (SIGKILL) and wait for its end."""
         self.process.kill()
-        self.process.wait(KILL_TIMEOUT)
+        self.process.wait(KILL_TIMEOUT_SECONDS)
 
-    def stop(self, timeout: float = STOP_TIMEOUT) -> int:
+    def stop(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
         """End the program gracefully (SIGTERM) and return its exit code.
 
         Args:
@@ -129,15 +129,15 @@
             env={**os.environ, **(environment or {})},
         )
     try:
-        address = _wait_address(process, path, READY_WORD, READY_TIMEOUT)
+        address = _wait_address(process, path, READY_WORD, READY_TIMEOUT_SECONDS)
     except ProgramNotReady:
         process.kill()
-        process.wait(KILL_TIMEOUT)
+        process.wait(KILL_TIMEOUT_SECONDS)
         raise
     return Program(process, address, path)
 
 
-def read_waited(process: int) -> float:
+def read_run_queue_wait(process: int) -> float:
     """Return the seconds that a process was able to run and had no processor.
 
     The second number of ``/proc/<pid>/schedstat`` (the kernel's
@@ -150,23 +150,25 @@
         numbers = Path(f'/proc/{process}/schedstat').read_text().split()
     except OSError:
         return 0
-    return int(numbers[1]) / NANOSECONDS
+    return int(numbers[1]) / NANOSECONDS_PER_SECOND
 
 
 def _wait_address(
     process: subprocess.Popen[bytes], path: Path, word: str, timeout: float
 ) -> str:
     begun = time.monotonic()
-    guard = begun + READY_GUARD
-    while time.monotonic() < min(guard, begun + timeout + read_waited(process.pid)):
+    guard = begun + MAX_START_SECONDS
+    while time.monotonic() < min(
+        guard, begun + timeout + read_run_queue_wait(process.pid)
+    ):
         ended = process.poll() is not None
         address = _find_address(path, word)
         if address is not None:
             return address
         if ended:
             break
-        time.sleep(POLL_INTERVAL)
-    tail = path.read_text(errors='replace')[-LOG_TAIL:]
+        time.sleep(POLL_INTERVAL_SECONDS)
+    tail = path.read_text(errors='replace')[-LOG_TAIL_CHARACTERS:]
     raise ProgramNotReady(f'{process.args!r} exit code {process.poll()}: {tail}')
 
 
--- a/packages/bench/src/ibisport_bench/memorytransport.py
+++ b/packages/bench/src/ibisport_bench/memorytransport.py
@@ -8,11 +8,11 @@
 from typing import Any, Protocol, cast
 
 Address = tuple[str, int]
-Factory = Callable[[], asyncio.BaseProtocol]
+ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 SEGMENT_BYTES = 4_096
 # The bounds of asyncio's own transports.
-HIGH_WATER = 65_536
-_END = b''
+HIGH_WATER_BYTES = 65_536
+_EOF = b''
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,10 +28,10 @@
 
     delay: float = 0.001
     rate: float = 0.0
-    room: int = 65_536
+    buffer_bytes: int = 65_536
 
 
-class Net(Protocol):
+class Network(Protocol):
     """What carries the bytes."""
 
     def find_link(self, source: str, destination: str) -> Link:
@@ -48,28 +48,33 @@
     """
 
     def __init__(
-        self, net: Net, host: str, factory: Factory, own: Address, other: Address
+        self,
+        net: Network,
+        host: str,
+        factory: ProtocolFactory,
+        own: Address,
+        other: Address,
     ) -> None:
         super().__init__({'sockname': own, 'peername': other})
         self.peer = self
         self.host = host
-        self.gone = False
+        self.disconnected = False
         self._net = net
         self._loop = asyncio.get_running_loop()
         self._context = contextvars.copy_context()
         self._protocol: Any = factory()
         self._buffer = bytearray()
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
+        self._high, self._low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self._writing_paused = False
         self._reading_paused = False
         self._closing = False
-        self._sent_until = 0.0
-        self._on_way = 0
+        self._send_finished_at = 0.0
+        self._unacknowledged = 0
         # Timers of equal times may fire in any order, so each takes the oldest.
-        self._arriving: deque[bytes | None] = deque()
+        self._in_flight: deque[bytes | None] = deque()
         self._unread: deque[bytes] = deque()
 
-    def begin(self) -> None:
+    def connect(self) -> None:
         """Tell the protocol that the connection stands."""
         self._protocol.connection_made(self)
 
@@ -96,13 +101,13 @@
     def resume_reading(self) -> None:
         """Take what has come."""
         self._reading_paused = False
-        self._loop.call_soon(self._read, context=self._context)
+        self._loop.call_soon(self._deliver, context=self._context)
 
     def set_write_buffer_limits(
         self, high: int | None = None, low: int | None = None
     ) -> None:
         """Set at which sizes of the buffer writers are stopped and go on."""
-        self._high = HIGH_WATER if high is None else high
+        self._high = HIGH_WATER_BYTES if high is None else high
         self._low = self._high // 4 if low is None else low
 
     def get_write_buffer_size(self) -> int:
@@ -126,70 +131,72 @@
 
     def abort(self) -> None:
         """Reset the connection; what the system hasn't taken is lost."""
-        if not self.gone:
+        if not self.disconnected:
             self._send(None)
-            self._lose(None)
+            self._disconnect(None)
 
-    def drop(self) -> None:
+    def close_on_exit(self) -> None:
         """Close as the system does for a process that ended; it is told nothing."""
         self._buffer.clear()
-        if not self.gone:
-            self._send(None if any(self._unread) else _END)
-        self._closing = self.gone = True
+        if not self.disconnected:
+            self._send(None if any(self._unread) else _EOF)
+        self._closing = self.disconnected = True
 
-    def expect(self, piece: bytes | None, when: float) -> None:
+    def schedule_arrival(self, piece: bytes | None, when: float) -> None:
         """Take a piece at a loop time; empty: the end, None: a reset."""
-        self._arriving.append(piece)
-        self._loop.call_at(when, self._arrive, context=self._context)
+        self._in_flight.append(piece)
+        self._loop.call_at(when, self._receive, context=self._context)
 
-    def make_room(self, size: int) -> None:
+    def acknowledge(self, size: int) -> None:
         """Note that the other end has read so many bytes."""
-        self._on_way -= size
+        self._unacknowledged -= size
         self._loop.call_soon(self._flush, context=self._context)
 
     def _flush(self) -> None:
         link = self._net.find_link(self.host, self.peer.host)
-        while self._buffer and self._on_way < link.room:
-            most = min(SEGMENT_BYTES, link.room - self._on_way)
+        while self._buffer and self._unacknowledged < link.buffer_bytes:
+            most = min(SEGMENT_BYTES, link.buffer_bytes - self._unacknowledged)
             piece = bytes(self._buffer[:most])
             del self._buffer[:most]
-            self._on_way += len(piece)
+            self._unacknowledged += len(piece)
             self._send(piece)
         if self._writing_paused and len(self._buffer) <= self._low:
             self._writing_paused = False
             self._loop.call_soon(self._protocol.resume_writing, context=self._context)
-        if self._closing and not (self._buffer or self.gone):
-            self._send(None if any(self._unread) else _END)
-            self._lose(None)
+        if self._closing and not (self._buffer or self.disconnected):
+            self._send(None if any(self._unread) else _EOF)
+            self._disconnect(None)
 
     def _send(self, piece: bytes | None) -> None:
         link = self._net.find_link(self.host, self.peer.host)
-        seconds = len(piece or _END) / link.rate if link.rate else 0.0
-        self._sent_until = max(self._sent_until, self._loop.time()) + seconds
-        self.peer.expect(piece, self._sent_until + link.delay)
-
-    def _arrive(self) -> None:
-        piece = self._arriving.popleft()
-        if self.gone:
+        seconds = len(piece or _EOF) / link.rate if link.rate else 0.0
+        self._send_finished_at = (
+            max(self._send_finished_at, self._loop.time()) + seconds
+        )
+        self.peer.schedule_arrival(piece, self._send_finished_at + link.delay)
+
+    def _receive(self) -> None:
+        piece = self._in_flight.popleft()
+        if self.disconnected:
             if piece:
                 self._send(None)
         elif piece is None:
-            self._lose(ConnectionResetError('reset by the peer'))
+            self._disconnect(ConnectionResetError('reset by the peer'))
         else:
             self._unread.append(piece)
-            self._read()
+            self._deliver()
 
-    def _read(self) -> None:
+    def _deliver(self) -> None:
         while self._unread and not (self._reading_paused or self._closing):
             piece = self._unread.popleft()
             if piece:
-                self.peer.make_room(len(piece))
+                self.peer.acknowledge(len(piece))
                 self._protocol.data_received(piece)
             elif not self._protocol.eof_received():
                 self.close()
 
-    def _lose(self, failure: Exception | None) -> None:
+    def _disconnect(self, failure: Exception | None) -> None:
         self._buffer.clear()
-        self._closing = self.gone = True
+        self._closing = self.disconnected = True
         lost = self._protocol.connection_lost
         self._loop.call_soon(lost, failure, context=self._context)
--- a/packages/bench/src/ibisport_bench/relay.py
+++ b/packages/bench/src/ibisport_bench/relay.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from ibisport_bench.relay_link import BOTH, Direction, RelayLink
+from ibisport_bench.relay_link import BOTH_DIRECTIONS, Direction, RelayLink
 from ibisport_bench.standins.errors import CallRejected
 from ibisport_bench.standins.web import (
     Answer,
@@ -22,8 +22,8 @@
 )
 
 HOST = '127.0.0.1'
-MS = 1000
-CONNECT_TIMEOUT = 10
+MS_PER_SECOND = 1000
+CONNECT_TIMEOUT_SECONDS = 10
 LISTEN_BACKLOG = 1024
 CONTROL_THREADS = 4
 
@@ -59,7 +59,9 @@
         for link in self._list_links():
             link.close()
 
-    def silence_existing(self, directions: frozenset[Direction] = BOTH) -> None:
+    def silence_existing(
+        self, directions: frozenset[Direction] = BOTH_DIRECTIONS
+    ) -> None:
         """Forward nothing on the connections of now; new ones work.
 
         Args:
@@ -68,7 +70,7 @@
         for link in self._list_links():
             link.silence(directions)
 
-    def blackhole(self, directions: frozenset[Direction] = BOTH) -> None:
+    def blackhole(self, directions: frozenset[Direction] = BOTH_DIRECTIONS) -> None:
         """Forward nothing on any connection, new ones included.
 
         Args:
@@ -88,7 +90,7 @@
         Args:
             milliseconds: Delay each way.
         """
-        self._delay = milliseconds / MS
+        self._delay = milliseconds / MS_PER_SECOND
         for link in self._list_links():
             link.delay = self._delay
 
@@ -126,11 +128,11 @@
             if self._refusing:
                 client.close()
                 continue
-            threading.Thread(target=self._open, args=(client,), daemon=True).start()
+            threading.Thread(target=self._connect, args=(client,), daemon=True).start()
 
-    def _open(self, client: socket.socket) -> None:
+    def _connect(self, client: socket.socket) -> None:
         try:
-            target = socket.create_connection(self._target, CONNECT_TIMEOUT)
+            target = socket.create_connection(self._target, CONNECT_TIMEOUT_SECONDS)
         except OSError:
             client.close()
             return
@@ -176,11 +178,11 @@
                 order = RelayOrder.model_validate_json(call.body)
             except ValidationError as error:
                 raise CallRejected(str(error), HTTPStatus.BAD_REQUEST, 3) from error
-            self._carry_out(order)
+            self._apply(order)
         accepted, opened = self._relay.count()
         return answer_json({'accepted': accepted, 'open': opened})
 
-    def _carry_out(self, order: RelayOrder) -> None:
+    def _apply(self, order: RelayOrder) -> None:
         if order.heal:
             self._relay.heal()
         if order.cut:
--- a/packages/bench/src/ibisport_bench/relay_link.py
+++ b/packages/bench/src/ibisport_bench/relay_link.py
@@ -7,9 +7,9 @@
 import time
 from enum import StrEnum
 
-READ_BYTES = 65536
-QUEUE_LENGTH = 64
-WAIT_STEP = 0.5
+MAX_READ_BYTES = 65536
+MAX_QUEUED_CHUNKS = 64
+POLL_INTERVAL_SECONDS = 0.5
 
 
 class Direction(StrEnum):
@@ -19,8 +19,8 @@
     to_client = 'to_client'
 
 
-BOTH = frozenset(Direction)
-Piece = tuple[float, bytes]
+BOTH_DIRECTIONS = frozenset(Direction)
+TimedChunk = tuple[float, bytes]
 
 
 class RelayLink:
@@ -40,24 +40,24 @@
         self._client = client
         self._target = target
         self._closed = threading.Event()
-        self._flowing = {way: threading.Event() for way in Direction}
+        self._forwarding = {way: threading.Event() for way in Direction}
         self._ended: set[Direction] = set()
         self._lock = threading.Lock()
         self.resume()
 
     def start(self) -> None:
         """Start to forward both ways."""
-        self._start_way(Direction.to_target, self._client, self._target)
-        self._start_way(Direction.to_client, self._target, self._client)
+        self._start_direction(Direction.to_target, self._client, self._target)
+        self._start_direction(Direction.to_client, self._target, self._client)
 
     def silence(self, directions: frozenset[Direction]) -> None:
         """Forward nothing, not even an end, on these ways."""
         for way in directions:
-            self._flowing[way].clear()
+            self._forwarding[way].clear()
 
     def resume(self) -> None:
         """Forward again, also what was held back."""
-        for flowing in self._flowing.values():
+        for flowing in self._forwarding.values():
             flowing.set()
 
     def is_closed(self) -> bool:
@@ -74,53 +74,53 @@
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
-    def _start_way(
+    def _start_direction(
         self, way: Direction, source: socket.socket, sink: socket.socket
     ) -> None:
-        pieces: queue.Queue[Piece] = queue.Queue(QUEUE_LENGTH)
+        pieces: queue.Queue[TimedChunk] = queue.Queue(MAX_QUEUED_CHUNKS)
         for run, sock in ((self._read, source), (self._write, sink)):
             threading.Thread(target=run, args=(way, sock, pieces), daemon=True).start()
 
     def _read(
-        self, way: Direction, source: socket.socket, pieces: queue.Queue[Piece]
+        self, way: Direction, source: socket.socket, pieces: queue.Queue[TimedChunk]
     ) -> None:
         content = b' '
         while content:
             try:
-                content = source.recv(READ_BYTES)
+                content = source.recv(MAX_READ_BYTES)
             except OSError:
                 content = b''
             if not self._put(pieces, (time.monotonic() + self.delay, content)):
                 return
 
-    def _put(self, pieces: queue.Queue[Piece], piece: Piece) -> bool:
+    def _put(self, pieces: queue.Queue[TimedChunk], piece: TimedChunk) -> bool:
         while not self._closed.is_set():
             try:
-                pieces.put(piece, timeout=WAIT_STEP)
+                pieces.put(piece, timeout=POLL_INTERVAL_SECONDS)
             except queue.Full:
                 continue
             return True
         return False
 
-    def _get(self, pieces: queue.Queue[Piece]) -> Piece:
+    def _get(self, pieces: queue.Queue[TimedChunk]) -> TimedChunk:
         while not self._closed.is_set():
             with contextlib.suppress(queue.Empty):
-                return pieces.get(timeout=WAIT_STEP)
+                return pieces.get(timeout=POLL_INTERVAL_SECONDS)
         return (0, b'')
 
     def _write(
-        self, way: Direction, sink: socket.socket, pieces: queue.Queue[Piece]
+        self, way: Direction, sink: socket.socket, pieces: queue.Queue[TimedChunk]
     ) -> None:
         content = b' '
         while content:
             deliver_at, content = self._get(pieces)
             time.sleep(max(0, deliver_at - time.monotonic()))
-            self._flowing[way].wait()
+            self._forwarding[way].wait()
             try:
                 self._deliver(sink, content)
             except OSError:
                 break
-        self._end(way)
+        self._record_end(way)
 
     def _deliver(self, sink: socket.socket, content: bytes) -> None:
         if content:
@@ -128,9 +128,9 @@
         else:
             sink.shutdown(socket.SHUT_WR)
 
-    def _end(self, way: Direction) -> None:
+    def _record_end(self, way: Direction) -> None:
         with self._lock:
             self._ended.add(way)
-            ended = self._ended == BOTH
+            ended = self._ended == BOTH_DIRECTIONS
         if ended:
             self.close()
--- a/packages/bench/src/ibisport_bench/site.py
+++ b/packages/bench/src/ibisport_bench/site.py
@@ -25,10 +25,10 @@
 
 # Seconds without any progress, and in all: how fast the links come one after the
 # other depends on what else the machine does.
-_STUCK_SECONDS = 20.0
-_READY_SECONDS = 120.0
-_STARTED_AT_ONCE = 6
-_CHECK_SECONDS = 0.05
+_MAX_SECONDS_WITHOUT_PROGRESS = 20.0
+_MAX_READY_SECONDS = 120.0
+_MAX_CONCURRENT_STARTS = 6
+_POLL_INTERVAL_SECONDS = 0.05
 _OWNER = 'operators'
 MODEL = 'acoustics'
 SERVICE = 'portal'
@@ -116,7 +116,7 @@
         self.http = urllib3.PoolManager(maxsize=64, retries=False)
         self._store: Program | None = None
         self._client: StoreClient | None = None
-        self._numbers = itertools.count(1)
+        self._log_numbers = itertools.count(1)
 
     @property
     def store(self) -> Program:
@@ -141,9 +141,11 @@
         """Start everything and wait until the routers serve."""
         self.folder.mkdir(parents=True, exist_ok=True)
         flags = _make_flags({'port': 0, **self.plan.store_flags})
-        self._store = self._run('store', _module('store', flags))
+        self._store = self._start_program(
+            'store', _build_module_command('store', flags)
+        )
         self._fill_catalogue()
-        with ThreadPoolExecutor(_STARTED_AT_ONCE) as pool:
+        with ThreadPoolExecutor(_MAX_CONCURRENT_STARTS) as pool:
             started: list[Future[Any]] = [
                 pool.submit(self.add_target, f'engine-{number}', number, [MODEL])
                 for number in range(self.plan.engines)
@@ -182,14 +184,18 @@
     def start_target(self, name: str, service: bool) -> Program:
         """Start the stand-in of an engine or of the plain service."""
         if service:
-            return self._run(name, _module('service', ['--port', '0']))
+            return self._start_program(
+                name, _build_module_command('service', ['--port', '0'])
+            )
         flags = {
             'port': 0,
             'slots': self.plan.slots,
             'token-ms': self.plan.token_ms,
             **self.plan.engine_flags,
         }
-        return self._run(name, _module('engine', _make_flags(flags)))
+        return self._start_program(
+            name, _build_module_command('engine', _make_flags(flags))
+        )
 
     def start_agent(
         self, name: str, domain: str, target_address: str, listen: str = '127.0.0.1:0'
@@ -204,8 +210,8 @@
             'slots': self.plan.slots,
             **self.plan.agent_flags,
         }
-        arguments = [_binary('ibisport-agent'), 'serve', *_make_flags(flags)]
-        return self._run(f'agent-{name}', arguments)
+        arguments = [_find_executable('ibisport-agent'), 'serve', *_make_flags(flags)]
+        return self._start_program(f'agent-{name}', arguments)
 
     def restart_agent(self, name: str) -> None:
         """Start a fresh incarnation of an agent at the address of the old one."""
@@ -244,8 +250,8 @@
             **self.plan.router_flags,
             **changes,
         }
-        arguments = [_binary('ibisport'), 'route', *_make_flags(flags)]
-        router = self._run('router', arguments)
+        arguments = [_find_executable('ibisport'), 'route', *_make_flags(flags)]
+        router = self._start_program('router', arguments)
         self.routers.append(router)
         return router
 
@@ -256,18 +262,20 @@
             SiteNotReady: What is still missing has not changed for long.
         """
         wanted = len(self.targets) if targets is None else targets
-        guard = time.monotonic() + _READY_SECONDS
+        guard = time.monotonic() + _MAX_READY_SECONDS
         stuck_at = guard
         missing: list[str] = []
         while time.monotonic() < min(stuck_at, guard):
             running = [one for one in self.routers if one.is_running()]
-            still = [lack for one in running for lack in self._list_lacks(one, wanted)]
+            still = [
+                lack for one in running for lack in self._list_missing(one, wanted)
+            ]
             if not still:
                 return
             if still != missing:
                 missing = still
-                stuck_at = time.monotonic() + _STUCK_SECONDS
-            time.sleep(_CHECK_SECONDS)
+                stuck_at = time.monotonic() + _MAX_SECONDS_WITHOUT_PROGRESS
+            time.sleep(_POLL_INTERVAL_SECONDS)
         raise SiteNotReady(f'{self.folder}: {"; ".join(missing)}')
 
     def read_state(self, router: Program) -> dict[str, Any]:
@@ -334,7 +342,7 @@
             programs.append(self._store)
         return programs
 
-    def _list_lacks(self, router: Program, targets: int) -> list[str]:
+    def _list_missing(self, router: Program, targets: int) -> list[str]:
         """Return what a router lacks before it serves at so many targets."""
         name = router.log_path.stem
         try:
@@ -347,26 +355,26 @@
             return lacks
         lacks.append(f'{name} knows {len(links)} of {targets} targets')
         return lacks + [
-            f'{name} cannot use {target}: {_explain_link(link)}'
+            f'{name} cannot use {target}: {_format_link(link)}'
             for target, link in links.items()
             if not link['usable']
         ]
 
-    def _run(self, name: str, arguments: Sequence[str]) -> Program:
-        log = self.folder / f'{next(self._numbers):03}-{name}.log'
+    def _start_program(self, name: str, arguments: Sequence[str]) -> Program:
+        log = self.folder / f'{next(self._log_numbers):03}-{name}.log'
         return start_program(list(arguments), log)
 
 
-def _explain_link(link: dict[str, Any]) -> str:
+def _format_link(link: dict[str, Any]) -> str:
     shown = ('connected', 'draining', 'incarnation')
     return ', '.join(f'{key}={link[key]}' for key in shown)
 
 
-def _module(name: str, flags: Sequence[str]) -> list[str]:
+def _build_module_command(name: str, flags: Sequence[str]) -> list[str]:
     return [sys.executable, '-m', f'ibisport_bench.standins.{name}', *flags]
 
 
-def _binary(name: str) -> str:
+def _find_executable(name: str) -> str:
     return str(Path(sys.executable).parent / name)
 
 
--- a/packages/bench/src/ibisport_bench/virtualnet.py
+++ b/packages/bench/src/ibisport_bench/virtualnet.py
@@ -11,7 +11,12 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from ibisport_bench.memorytransport import Address, Factory, Link, MemoryTransport
+from ibisport_bench.memorytransport import (
+    Address,
+    Link,
+    MemoryTransport,
+    ProtocolFactory,
+)
 from ibisport_bench.virtualtime import VirtualLoop
 
 FIRST_FREE_PORT = 49_152
@@ -21,7 +26,9 @@
 class Listener:
     """What accepts connections to one address; it is its own socket."""
 
-    def __init__(self, net: 'VirtualNet', address: Address, factory: Factory) -> None:
+    def __init__(
+        self, net: 'VirtualNetwork', address: Address, factory: ProtocolFactory
+    ) -> None:
         self.context = contextvars.copy_context()
         self.factory = factory
         self.sockets = (self,)
@@ -50,7 +57,7 @@
         """Return; closing takes no time."""
 
 
-class VirtualNet(VirtualLoop):
+class VirtualNetwork(VirtualLoop):
     """A loop in virtual time with a network of its own.
 
     Attributes:
@@ -62,7 +69,7 @@
         super().__init__()
         self.links: dict[tuple[str, str], Link] = {}
         self.listeners: dict[Address, Listener] = {}
-        self._ends: list[MemoryTransport] = []
+        self._endpoints: list[MemoryTransport] = []
         self._tasks: dict[asyncio.Task[Any], str] = {}
         self._ports = itertools.count(FIRST_FREE_PORT)
         # The stubs don't know that a factory may get a context.
@@ -73,7 +80,7 @@
         return self.links.get((source, destination)) or Link()
 
     async def create_server(  # type: ignore[override]
-        self, factory: Factory, host: str, port: int, **_: Any
+        self, factory: ProtocolFactory, host: str, port: int, **_: Any
     ) -> Listener:
         """Accept connections to an address; port 0 is a free one."""
         address = host, port or next(self._ports)
@@ -83,7 +90,7 @@
         return self.listeners[address]
 
     async def create_connection(  # type: ignore[override]
-        self, factory: Factory, host: str, port: int, **_: Any
+        self, factory: ProtocolFactory, host: str, port: int, **_: Any
     ) -> tuple[MemoryTransport, Any]:
         """Connect to an address.
 
@@ -102,11 +109,11 @@
         )
         ours = MemoryTransport(self, own[0], factory, own, address)
         ours.peer, theirs.peer = theirs, ours
-        self._ends = [one for one in self._ends if not one.gone]
-        self._ends += (ours, theirs)
-        listener.context.copy().run(theirs.begin)
+        self._endpoints = [one for one in self._endpoints if not one.disconnected]
+        self._endpoints += (ours, theirs)
+        listener.context.copy().run(theirs.connect)
         await asyncio.sleep(self.find_link(there, own[0]).delay)
-        ours.begin()
+        ours.connect()
         return ours, ours.get_protocol()
 
     def start_on(self, host: str, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
@@ -122,20 +129,20 @@
         finally:
             left = self._cancel_tasks(host)
             await asyncio.gather(*left, return_exceptions=True)
-            self._drop(host)
+            self._close_connections(host)
 
     def kill(self, host: str) -> None:
         """End a process at once: none of its tasks can say anything more."""
-        self._drop(host)
+        self._close_connections(host)
         self._cancel_tasks(host)
 
-    def _drop(self, host: str) -> None:
+    def _close_connections(self, host: str) -> None:
         for listener in tuple(self.listeners.values()):
             if listener.host == host:
                 listener.close()
-        for end in self._ends:
+        for end in self._endpoints:
             if end.host == host:
-                end.drop()
+                end.close_on_exit()
 
     def _cancel_tasks(self, host: str) -> list[asyncio.Task[Any]]:
         tasks = [task for task, where in self._tasks.items() if where == host]
@@ -156,7 +163,7 @@
         return task
 
 
-def run_on_net(play: Callable[[VirtualNet], Coroutine[Any, Any, Any]]) -> Any:
+def run_on_net(play: Callable[[VirtualNetwork], Coroutine[Any, Any, Any]]) -> Any:
     """Run a play to its end on a network of its own."""
-    with asyncio.Runner(loop_factory=VirtualNet) as runner:
-        return runner.run(play(cast(VirtualNet, runner.get_loop())))
+    with asyncio.Runner(loop_factory=VirtualNetwork) as runner:
+        return runner.run(play(cast(VirtualNetwork, runner.get_loop())))
--- a/packages/bench/src/ibisport_bench/virtualtime.py
+++ b/packages/bench/src/ibisport_bench/virtualtime.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Lets the time that a wait would take pass at once."""
 
     def __init__(self) -> None:
@@ -27,16 +27,16 @@
     """A loop for tasks that use timers only."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def stand_still(self, seconds: float) -> None:
         """Let time pass in which nothing runs."""
-        self._jumping.now += seconds
+        self._time_selector.now += seconds
 
     def time(self) -> float:
         """Return the virtual seconds since the loop was made."""
-        return self._jumping.now
+        return self._time_selector.now
 
 
 def run_virtually(work: Coroutine[Any, Any, Any]) -> Any:
