--- a/features/steps/sites.py
+++ b/features/steps/sites.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: running sites, and callers that ask them."""
+"""Shared helpers that start sites and send requests to them."""
 
 import hashlib
 import tempfile
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller got.
+    """Answer to a request.
 
     Attributes:
-        status: HTTP status; 0 when the connection broke.
+        status: HTTP status; 0 if the connection failed.
         headers: Headers of the answer.
-        body: All bytes that came.
-        broken: The connection broke before the end.
+        body: Received bytes of the body.
+        broken: Whether the connection failed before the end of the answer.
     """
 
     status: int
@@ -49,18 +49,18 @@
 
     @property
     def events(self) -> list[dict[str, Any]]:
-        """The body's server-sent events, without the last marker."""
+        """The server-sent events of the body, without the ``[DONE]`` marker."""
         parts = self.body.decode().split('\n\n')
         texts = [part.removeprefix('data: ') for part in parts if part]
         return [orjson.loads(text) for text in texts if text != '[DONE]']
 
 
 def start_site(context: Any, **changes: Any) -> Site:
-    """Start a site for one scenario; it is stopped after it.
+    """Start a site that is stopped at the end of the scenario.
 
     Args:
-        context: behave's context; the site becomes ``context.site``.
-        changes: Fields of the site's plan.
+        context: Context of behave; the site is stored as ``context.site``.
+        changes: Fields of the site's plan that override the defaults.
     """
     plan = {
         'engines': 2,
@@ -79,10 +79,10 @@
 
 
 def make_body(prompt: str, stream: bool = False, **fields: Any) -> bytes:
-    """Return a chat completion's body."""
+    """Return the body of a chat completion request."""
     messages = [{'role': 'user', 'content': prompt}]
-    asked = {'model': MODEL, 'messages': messages, 'stream': stream, **fields}
-    return orjson.dumps(asked)
+    request = {'model': MODEL, 'messages': messages, 'stream': stream, **fields}
+    return orjson.dumps(request)
 
 
 def ask(
@@ -94,26 +94,26 @@
     method: str = 'POST',
     **headers: str,
 ) -> Answer:
-    """Send one request as a caller does, without any retry.
+    """Send one request as a caller does, without retries.
 
     Args:
-        router: Whom to ask.
-        workspace: Whose bearer key to show.
-        body: The body.
+        router: Router that receives the request.
+        workspace: Workspace whose bearer key is sent.
+        body: Body of the request.
         path: Path of the request.
-        timeout: Seconds to wait for bytes.
+        timeout: Seconds without any bytes after which the request fails.
         method: HTTP method.
-        headers: Further headers; underscores stand for dashes.
+        headers: Additional headers; underscores are replaced by dashes.
     """
-    sent = {name.replace('_', '-'): text for name, text in headers.items()}
-    sent |= {'Authorization': f'Bearer key-{workspace}'}
-    sent |= {'Content-Type': 'application/json'}
+    request_headers = {name.replace('_', '-'): text for name, text in headers.items()}
+    request_headers |= {'Authorization': f'Bearer key-{workspace}'}
+    request_headers |= {'Content-Type': 'application/json'}
     try:
         answer = POOL.request(
             method,
             f'{router.url}{path}',
             body=body,
-            headers=sent,
+            headers=request_headers,
             timeout=timeout,
             retries=False,
         )
@@ -123,18 +123,18 @@
 
 
 def expect_words(prompt: str, count: int) -> list[str]:
-    """Return the words that the stand-in engine answers a prompt with."""
+    """Return the words of the stand-in engine's answer to a prompt."""
     head = hashlib.sha256(prompt.encode()).hexdigest()[:8]
     return [f'{head}-{number}' for number in range(count)]
 
 
 def read_words(answer: Answer) -> list[str]:
-    """Return the words of an answer, streamed or whole."""
+    """Return the words of an answer, streamed or not."""
     if answer.body.startswith(b'data:'):
         texts = [
-            one['choices'][0]['delta'].get('content', '')
-            for one in answer.events
-            if 'choices' in one
+            event['choices'][0]['delta'].get('content', '')
+            for event in answer.events
+            if 'choices' in event
         ]
         return ''.join(texts).split()
     choice = answer.document['choices'][0]
@@ -142,15 +142,19 @@
 
 
 def wait_until(check: Any, seconds: float = 20.0, what: str = 'it') -> None:
-    """Wait until a check is true; fail when it is not in time."""
+    """Poll a check until it is true.
+
+    Raises:
+        AssertionError: The check wasn't true in time.
+    """
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         if check():
             return
         time.sleep(0.05)
-    raise AssertionError(f'{what} did not come true in {seconds} s')
+    raise AssertionError(f'{what} did not happen within {seconds} s')
 
 
 def read_account(site: Site, workspace: str = 'small') -> Any:
-    """Return the account of a workspace's budget as the store has it."""
+    """Return the stored account of a workspace's budget."""
     return site.operator.read_budget(workspace, 'main')
--- a/packages/bench/src/ibisport_bench/__init__.py
+++ b/packages/bench/src/ibisport_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Package of ibisport: bench."""
+"""Stand-ins, simulations, experiments and load tools for ibisport."""
--- a/packages/bench/src/ibisport_bench/budgetworld.py
+++ b/packages/bench/src/ibisport_bench/budgetworld.py
@@ -1,4 +1,4 @@
-"""Routers' budgets in virtual time: who spends what while all sorts of things fail."""
+"""Simulates the budgets of a router fleet in virtual time, under injected faults."""
 
 import asyncio
 import os
@@ -22,21 +22,21 @@
 from ibisport_fleet.store import Item
 
 RESTART_SECONDS = 1.2
-# After a planned stop the next process is there sooner.
+# A planned restart is faster than one after a crash.
 ROLL_RESTART_SECONDS = 0.5
-# One way between two hosts.
+# One-way delay between two hosts.
 LINK_SECONDS = 0.001
 
 
 @dataclass(slots=True)
 class Host:
-    """One host and the process that runs on it now.
+    """A simulated host and the router process that currently runs on it.
 
     Attributes:
-        name: Its name.
-        boots: How often its machine was started again.
-        budgets: What the process knows, or None while none runs.
-        tasks: What the process does.
+        name: Name of the host.
+        boots: Reboots of the machine so far; each one changes the boot ID.
+        budgets: Budgets of the process, or None while no process runs.
+        tasks: Tasks of the process.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
 
 class _PeerClient:
-    """The way from one host to the others."""
+    """Sends loan requests from one host to the others."""
 
     def __init__(self, world: 'BudgetWorld', name: str) -> None:
         self._world = world
@@ -55,7 +55,12 @@
     async def ask(
         self, address: Address, request: LoanRequest, deadline: float
     ) -> Loan:
-        """Ask a lender; nothing answers at a host that is down or far off."""
+        """Ask a lender for a loan.
+
+        Raises:
+            PeerUnavailable: The lender is down, unreachable or too slow, or its answer
+                was lost.
+        """
         world = self._world
         await asyncio.sleep(LINK_SECONDS)
         lender = world.find_host(address[0]).budgets
@@ -73,26 +78,27 @@
 
 
 class BudgetWorld:
-    """Some hosts that spend the budgets of one workspace or several.
+    """Simulated hosts that spend the budgets of one or more workspaces.
 
     Attributes:
-        service: The store that they share, and its faults.
-        delivered: Tokens that callers surely got, or may have got.
-        delivered_by: The same by host.
-        outcomes: How often requests were served and refused, by reason.
-        apart: Names of the hosts that reach no other host.
-        lose_loans: Share of the loans whose answers are lost.
+        service: The store that the hosts share, and its faults.
+        delivered: Tokens delivered to callers; a request in progress counts with its
+            maximum.
+        delivered_by_host: Delivered tokens by host.
+        outcomes: Number of requests served or refused, by reason.
+        apart: Names of the hosts that are cut off from all other hosts.
+        lose_loans: Probability that the answer to a loan request is lost.
         workspace: The first workspace.
     """
 
     def __init__(self, hosts: int, budget: int, seed: int, workspaces: int = 1) -> None:
-        """Build the world; nothing runs yet.
+        """Build the simulation without starting any process.
 
         Args:
-            hosts: How many hosts there are.
+            hosts: Number of hosts.
             budget: Tokens paid for by each workspace.
-            seed: Of the store's faults and the links'.
-            workspaces: How many workspaces there are.
+            seed: Seed of the random faults of the store and of loans.
+            workspaces: Number of workspaces.
         """
         self.service = MemoryService(seed)
         self.delivered = 0
@@ -103,7 +109,10 @@
         self.workspace = Workspace('acme', None, budget)
         self._workspaces = [
             self.workspace,
-            *(Workspace(f'acme-{one}', None, budget) for one in range(1, workspaces)),
+            *(
+                Workspace(f'acme-{index}', None, budget)
+                for index in range(1, workspaces)
+            ),
         ]
         self._delivered_by_workspace: Counter[str] = Counter()
         self._log = EventLog(os.open(os.devnull, os.O_WRONLY))
@@ -113,15 +122,15 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of the hosts."""
+        """Names of all hosts."""
         return [host.name for host in self._hosts]
 
     def find_host(self, name: str) -> Host:
-        """Return a host by its name."""
+        """Return the host with a name."""
         return next(host for host in self._hosts if host.name == name)
 
     def count_used(self) -> int:
-        """Return what the running processes count as spent or reserved."""
+        """Return the tokens that running processes count as spent or reserved."""
         return sum(
             host.budgets.find_used(self.workspace.name)
             for host in self._hosts
@@ -130,34 +139,44 @@
 
     @property
     def overspent(self) -> int:
-        """Tokens that callers got, or may have got, beyond the budgets."""
+        """Tokens delivered beyond the budgets.
+
+        A request in progress counts with its maximum.
+        """
         return sum(
-            max(0, self._delivered_by_workspace[one.name] - (one.budget or 0))
-            for one in self._workspaces
+            max(
+                0,
+                self._delivered_by_workspace[workspace.name] - (workspace.budget or 0),
+            )
+            for workspace in self._workspaces
         )
 
     def count_stranded(self) -> int:
-        """Return what counts as spent in the page or at a host, and was not."""
+        """Return the tokens that count as spent but weren't delivered.
+
+        These are counted in the shared page or by the process of a host.
+        """
         page = decode_page(self.service.items[PAGE_KEY].content)
         counted = sum(account.closed for account in page.accounts.values())
         for host in self._hosts:
             if host.budgets is not None:
                 counted += sum(
-                    host.budgets.find_used(one.name) for one in self._workspaces
+                    host.budgets.find_used(workspace.name)
+                    for workspace in self._workspaces
                 )
         return counted - self.delivered
 
     def is_running(self, number: int) -> bool:
-        """Whether a process runs on a host."""
+        """Tell whether a process runs on a host."""
         return self._hosts[number % len(self._hosts)].budgets is not None
 
     def start_all(self) -> None:
-        """Start a process on each host."""
+        """Start a process on every host that has none."""
         for number in range(len(self._hosts)):
             self.start(number)
 
     def start(self, number: int) -> None:
-        """Start a process on a host, unless one runs there."""
+        """Start a process on a host unless it already has one."""
         host = self._hosts[number % len(self._hosts)]
         if host.budgets is not None:
             return
@@ -178,7 +197,7 @@
         self._spawn(host, host.budgets.run_repayments())
 
     def kill(self, number: int) -> None:
-        """Kill a host's process; another starts a moment later."""
+        """Kill a host's process; a new one starts after ``RESTART_SECONDS``."""
         host = self._hosts[number % len(self._hosts)]
         host.budgets = None
         for task in tuple(host.tasks):
@@ -187,7 +206,7 @@
         loop.call_later(RESTART_SECONDS, self.start, number)
 
     async def stop(self, number: int) -> None:
-        """Stop a host's process in order; another starts a moment later."""
+        """Stop a host's process cleanly; a new one starts after ``RESTART_SECONDS``."""
         host = self._hosts[number % len(self._hosts)]
         budgets, host.budgets = host.budgets, None
         if budgets is None:
@@ -203,9 +222,9 @@
         loop.call_later(RESTART_SECONDS, self.start, number)
 
     async def leave(self, number: int, seconds: float) -> None:
-        """Tell a host's process to stop; it ends so many seconds later.
+        """Begin the shutdown of a host's process and end it after some seconds.
 
-        No other one is started there.
+        No new process is started.
         """
         host = self._hosts[number % len(self._hosts)]
         budgets = host.budgets
@@ -215,7 +234,7 @@
         budgets.leave(plan_shutdown(now, REFERENCE_GRACE_SECONDS))
         await asyncio.sleep(seconds)
         if host.budgets is not budgets:
-            # It was killed meanwhile.
+            # The process was killed in the meantime.
             return
         host.budgets = None
         for task in tuple(host.tasks):
@@ -223,13 +242,16 @@
         await budgets.close()
 
     async def roll(self, number: int, seconds: float) -> None:
-        """Let a host's process leave; another starts a moment after its end."""
+        """Restart a host's process as in a rolling update.
+
+        The new process starts ``ROLL_RESTART_SECONDS`` after the old one has ended.
+        """
         await self.leave(number, seconds)
         await asyncio.sleep(ROLL_RESTART_SECONDS)
         self.start(number)
 
     def list_lenders(self, number: int) -> list[str]:
-        """Return the lenders in a host's newest list, the first one first."""
+        """Return the lenders that a host currently knows, in order of preference."""
         budgets = self._hosts[number % len(self._hosts)].budgets
         return [] if budgets is None else budgets.list_lenders(self.workspace.name)
 
@@ -241,14 +263,14 @@
         seconds: float,
         payer: int = 0,
     ) -> None:
-        """Let a caller send a request to a host.
+        """Send a request to a host; nothing happens if no process runs there.
 
         Args:
-            number: Which host.
-            tokens: The most that it may cost.
-            share: The part of it that it costs in the end.
-            seconds: How long it runs.
-            payer: Which workspace pays.
+            number: Number of the host.
+            tokens: Maximum cost of the request.
+            share: Fraction of ``tokens`` that the request costs in the end.
+            seconds: Duration of the request.
+            payer: Number of the workspace that pays.
         """
         host = self._hosts[number % len(self._hosts)]
         workspace = self._workspaces[payer]
@@ -256,7 +278,7 @@
             self._spawn(host, self._serve(host, workspace, tokens, share, seconds))
 
     async def reserve(self, number: int, tokens: int) -> None:
-        """Reserve tokens for a request at a host, and never run it."""
+        """Reserve tokens on a host for a request that never runs."""
         budgets = self._hosts[number % len(self._hosts)].budgets
         if budgets is not None:
             await budgets.reserve(self.workspace, tokens)
@@ -273,16 +295,16 @@
         if budgets is None:
             return
         try:
-            held = await budgets.reserve(workspace, tokens)
-        except TokensUnavailable as short:
-            self.outcomes['spent' if short.retry_after is None else 'short'] += 1
+            reservation = await budgets.reserve(workspace, tokens)
+        except TokensUnavailable as error:
+            self.outcomes['spent' if error.retry_after is None else 'short'] += 1
             return
-        # Until it has ended nobody can tell how much of it was delivered.
+        # How much is delivered is unknown until the request ends: count its maximum.
         self._record_delivered(host, workspace, tokens)
         await asyncio.sleep(seconds)
-        held.spent = int(tokens * share)
-        budgets.settle(held)
-        self._record_delivered(host, workspace, held.spent - tokens)
+        reservation.spent = int(tokens * share)
+        budgets.settle(reservation)
+        self._record_delivered(host, workspace, reservation.spent - tokens)
         self.outcomes['served'] += 1
 
     def _record_delivered(self, host: Host, workspace: Workspace, tokens: int) -> None:
@@ -299,5 +321,5 @@
         raise RecordInvalid(item.key)
 
     def _build_catalogue(self) -> Catalogue:
-        workspaces = {one.name: one for one in self._workspaces}
+        workspaces = {workspace.name: workspace for workspace in self._workspaces}
         return Catalogue(1, 1, (), {}, workspaces, {}, needs_keys=True)
--- a/packages/bench/src/ibisport_bench/caller.py
+++ b/packages/bench/src/ibisport_bench/caller.py
@@ -1,4 +1,4 @@
-"""A plain caller: sends one request and keeps what came back."""
+"""A simple HTTP caller that sends one request to a router and returns the answer."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAnswer:
-    """What a caller got.
+    """Answer to a request.
 
     Attributes:
-        status: HTTP status; 0 when the connection broke.
-        body: All bytes that came.
+        status: HTTP status; 0 if the connection failed.
+        body: Received bytes of the body.
     """
 
     status: int
@@ -24,7 +24,7 @@
 
     @property
     def error_code(self) -> str:
-        """Code of the refusal, or empty."""
+        """Error code of a refusal, or an empty string."""
         if self.status in {0, 200}:
             return ''
         code: str = orjson.loads(self.body)['error']['code']
@@ -32,45 +32,45 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that the answer's usage names, or 0."""
+        """Total tokens in the ``usage`` of the answer, or 0 without one."""
         if b'"usage"' not in self.body:
             return 0
         text = self.body
         if text.startswith(b'data:'):
             events = text.split(b'\n\n')
-            text = next(one for one in reversed(events) if b'"usage"' in one)
+            text = next(event for event in reversed(events) if b'"usage"' in event)
             text = text.removeprefix(b'data: ')
         total: int = orjson.loads(text)['usage']['total_tokens']
         return total
 
 
 def make_chat(model: str, prompt: str, stream: bool, **fields: Any) -> bytes:
-    """Return the body of a chat completion.
+    """Return the body of a chat completion request.
 
     Args:
         model: Name of the model.
-        prompt: The one message.
-        stream: Whether the answer should be streamed.
-        fields: Further fields.
+        prompt: Content of the only message.
+        stream: Whether to stream the answer.
+        fields: Additional fields of the body.
     """
     messages = [{'role': 'user', 'content': prompt}]
-    asked = {'model': model, 'messages': messages, 'stream': stream, **fields}
-    return orjson.dumps(asked)
+    request = {'model': model, 'messages': messages, 'stream': stream, **fields}
+    return orjson.dumps(request)
 
 
 def call_router(
     url: str, key: str, path: str, body: bytes, headers: dict[str, str] | None = None
 ) -> CallerAnswer:
-    """Send one request, without any retry.
+    """Send one request without retries.
 
     Args:
-        url: The router's URL.
+        url: Base URL of the router.
         key: Bearer key of the workspace.
         path: Path of the request.
-        body: Its body.
-        headers: Further headers.
+        body: Body of the request.
+        headers: Additional headers.
     """
-    sent = {
+    request_headers = {
         'Authorization': f'Bearer {key}',
         'Content-Type': 'application/json',
         **(headers or {}),
@@ -80,7 +80,7 @@
             'POST',
             f'{url}{path}',
             body=body,
-            headers=sent,
+            headers=request_headers,
             timeout=_CALL_TIMEOUT_SECONDS,
             retries=False,
         )
--- a/packages/bench/src/ibisport_bench/demo.py
+++ b/packages/bench/src/ibisport_bench/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a whole site, real requests, a top-up and a drain, in a minute.
+"""Demo: starts a whole site, sends requests, tops up a budget and drains a target.
 
-``make demo`` runs it to its end; ``make demo KEEP=1`` keeps the site running
-and prints a ``curl`` line to try.
+It takes about a minute. ``make demo`` exits at the end; ``make demo KEEP=1`` keeps the
+site running and prints a ``curl`` command to try.
 """
 
 import os
@@ -45,25 +45,25 @@
     """Runs the demo on a site."""
 
     def __init__(self, site: Site) -> None:
-        """Keep the site.
+        """Create the demo.
 
         Args:
-            site: A started site.
+            site: A site that is already running.
         """
         self._site = site
         self._results: list[_CallResult] = []
 
     def run(self) -> None:
-        """Ask, top up, drain, and print what came of it."""
-        self._print_progress('three workspaces ask through two routers')
+        """Send requests, top up, drain, and print the results."""
+        self._print_progress('three workspaces send requests through two routers')
         self._run_round('first')
-        self._print_progress('the walk-in counter has used its budget up: top it up')
+        self._print_progress('workspace walk-in has used up its budget: topping it up')
         self._site.operator.top_up('walk-in', 'main', 100_000, 'demo-payment')
         self._run_round('second')
         self._drain('engine-0')
         self._run_round('third')
         self._print_progress(
-            f'engine-0 has run {self._count_runs("engine-0")} requests since'
+            f'engine-0 has run {self._count_runs("engine-0")} requests in all'
         )
         self._print_table()
 
@@ -74,12 +74,12 @@
                 for number in range(_REQUESTS_PER_WORKSPACE)
                 for plan in self._site.plan.workspaces
             ]
-            answers = [job.result() for job in jobs]
-        self._results += answers
+            calls = [job.result() for job in jobs]
+        self._results += calls
         refused = Counter(
-            one.answer.error_code for one in answers if one.answer.error_code
+            call.answer.error_code for call in calls if call.answer.error_code
         )
-        served = len(answers) - refused.total()
+        served = len(calls) - refused.total()
         self._print_progress(f'{name} round: {served} served, refused {dict(refused)}')
 
     def _send_request(self, workspace: str, topic: str, number: int) -> _CallResult:
@@ -95,7 +95,7 @@
         time.sleep(_DRAIN_SECONDS)
         settled = self._count_runs(name)
         self._print_progress(
-            f'{name} drains: it ran {before} requests, {settled} when drained'
+            f'{name} drains: {before} requests before, {settled} when drained'
         )
 
     def _count_runs(self, name: str) -> int:
@@ -104,23 +104,25 @@
 
     def _print_table(self) -> None:
         time.sleep(_SETTLE_SECONDS)
-        asked: dict[str, list[CallerAnswer]] = defaultdict(list)
-        for one in self._results:
-            asked[one.workspace].append(one.answer)
+        answers_by_workspace: dict[str, list[CallerAnswer]] = defaultdict(list)
+        for call in self._results:
+            answers_by_workspace[call.workspace].append(call.answer)
         _print_row(('workspace', 'asked', 'got', 'tokens got', 'paid', 'left'))
-        for workspace, answers in asked.items():
-            got = [one for one in answers if one.status == 200]
+        for workspace, answers in answers_by_workspace.items():
+            served = [reply for reply in answers if reply.status == 200]
             account = self._site.operator.read_budget(workspace, 'main')
-            tokens = sum(one.tokens for one in got)
+            tokens = sum(reply.tokens for reply in served)
             left = account.topped_up - account.spent
-            _print_row((workspace, len(answers), len(got), tokens, account.spent, left))
+            _print_row(
+                (workspace, len(answers), len(served), tokens, account.spent, left)
+            )
 
     def _print_progress(self, text: str) -> None:
         print(f'-- {text}', flush=True)
 
 
 def run() -> None:
-    """Start a site, run the demo on it and end it."""
+    """Start a site, run the demo on it and stop the site."""
     folder = Path(tempfile.mkdtemp(prefix='ibisport-demo-'))
     site = Site(_PLAN, folder)
     print(f'-- starting store, targets, agents and routers; logs in {folder}')
--- a/packages/bench/src/ibisport_bench/invariants.py
+++ b/packages/bench/src/ibisport_bench/invariants.py
@@ -1,13 +1,14 @@
-"""Checks the brief's promises by outside evidence alone.
+"""Checks the system's invariants from external evidence only.
 
-The evidence is what the targets ran, what the store committed and what callers
-received; the routers' and agents' own word is never asked for.
+The evidence consists of the runs at the targets, the commits of the store and the
+answers that callers received. What routers and agents report about themselves isn't
+used.
 
-What a request costs: a whole answer costs what its target counted, once,
-however often it was asked for. An answer that broke off costs nothing. A stream
-left by its caller costs what was generated: between what the caller had got and
-what the target ran. Where an answer was whole at a target and reached nobody,
-the run may have been paid or not; ``Bounds`` says so instead of guessing.
+Cost of a request: a complete answer costs what its target counted, once, however many
+calls asked for it. An answer that broke off costs nothing. A stream that its caller
+closed costs what was generated: at least what the caller had received, at most what
+the target ran. If a run finished at a target but its answer reached no caller, it may
+or may not have been billed; ``CostBounds`` covers both cases.
 """
 
 import hashlib
@@ -30,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """One call of a caller and the bytes that came back.
+    """One call of a caller and the answer that it received.
 
     Attributes:
         prompt: The unique prompt, or empty for a call of the plain service.
-        words: Words that a whole answer has.
+        words: Number of words in a complete answer.
         path: Path of a call of the plain service.
         sent: Body of a call of the plain service.
-        status: HTTP status; 0 when none came.
-        body: All bytes that came.
-        broken: The connection broke before the end.
-        left: The caller closed the connection itself.
-        idempotent: Whether it may run more than once.
+        status: HTTP status; 0 if none was received.
+        body: All bytes received.
+        broken: Whether the connection broke before the end of the answer.
+        left: Whether the caller closed the connection itself.
+        idempotent: Whether the request may run more than once.
     """
 
     prompt: str = ''
@@ -56,19 +57,19 @@
 
     @property
     def content_hash(self) -> str:
-        """What a target's log knows the request by."""
+        """Identifier of the request in the run logs of targets."""
         if self.prompt:
             return hashlib.sha256(self.prompt.encode()).hexdigest()
         return f'{self.path} {hashlib.sha256(self.sent).hexdigest()}'
 
     @property
     def streamed(self) -> bool:
-        """Whether server-sent events came."""
+        """Whether the answer consists of server-sent events."""
         return self.body.startswith(_EVENT_PREFIX)
 
     @property
     def documents(self) -> list[Fields]:
-        """The complete JSON documents among the bytes."""
+        """The complete JSON documents in the body."""
         if not self.streamed:
             return [_parse(self.body)] if self.body else []
         parts = self.body.split(b'\n\n')[:-1]
@@ -77,21 +78,27 @@
 
     @property
     def error(self) -> Fields:
-        """The typed error that came, or an empty one."""
-        found = [one['error'] for one in self.documents if 'error' in one]
-        return found[-1] if found else {}
+        """The last typed error in the answer, or an empty dictionary."""
+        errors = [
+            document['error'] for document in self.documents if 'error' in document
+        ]
+        return errors[-1] if errors else {}
 
     @property
     def looks_whole(self) -> bool:
-        """Whether a caller would take this for the whole answer."""
+        """Whether a caller would accept this as the complete answer."""
         if self.status != _OK_STATUS or self.broken or self.left or self.error:
             return False
         return self.body.endswith(_DONE_EVENT) or not self.streamed
 
     @property
     def text(self) -> list[str]:
-        """The words that came."""
-        choices = [one['choices'][0] for one in self.documents if 'choices' in one]
+        """The words of the answer received so far."""
+        choices = [
+            document['choices'][0]
+            for document in self.documents
+            if 'choices' in document
+        ]
         pieces = [
             choice.get('delta', choice.get('message', {})).get('content', '')
             for choice in choices
@@ -100,12 +107,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InvariantViolation:
-    """A promise that did not hold.
+class Violation:
+    """A violated invariant.
 
     Attributes:
-        promise: Short name of the promise.
-        detail: What speaks against it.
+        invariant: Short name of the invariant.
+        detail: The evidence of the violation.
     """
 
     invariant: str
@@ -114,13 +121,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CostBounds:
-    """The least and the most that requests may have cost, in tokens."""
+    """Minimum and maximum of what requests may have cost."""
 
     min_tokens: int = 0
     max_tokens: int = 0
 
     def __add__(self, other: 'CostBounds') -> 'CostBounds':
-        """Return the bounds of both together."""
+        """Return the bounds of the sum of both costs."""
         return CostBounds(
             self.min_tokens + other.min_tokens, self.max_tokens + other.max_tokens
         )
@@ -128,15 +135,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """All that is known from outside.
+    """Everything observed from outside of routers and agents.
 
     Attributes:
         engine_runs: ``GET /runs`` of all engines.
-        service_runs: The runs of ``GET /runs`` of all plain services.
+        service_runs: The runs in ``GET /runs`` of all plain services.
         history: ``GET /history`` of the store.
-        received: What every caller got.
-        stranded: Whether agents died with the proof of what ran: then less
-            than is due may be billed, never more.
+        received: The calls of all callers.
+        stranded: Whether agents crashed and lost the proof of what ran: less than the
+            cost may then be billed, never more.
     """
 
     engine_runs: Sequence[Fields] = ()
@@ -146,17 +153,17 @@
     stranded: bool = False
     _runs_by_content: dict[str, list[Fields]] = field(default_factory=dict)
 
-    def find_runs(self, one: Received) -> list[Fields]:
-        """Return the runs of a request at all targets."""
+    def find_runs(self, call: Received) -> list[Fields]:
+        """Return the runs of a call's request at all targets."""
         if not self._runs_by_content:
             self._runs_by_content.update(self._group_runs())
-        return self._runs_by_content.get(one.content_hash, [])
+        return self._runs_by_content.get(call.content_hash, [])
 
     def group_received(self) -> dict[str, list[Received]]:
-        """Return the calls by request."""
+        """Return the calls, grouped by request."""
         grouped: dict[str, list[Received]] = defaultdict(list)
-        for one in self.received:
-            grouped[one.content_hash].append(one)
+        for call in self.received:
+            grouped[call.content_hash].append(call)
         return grouped
 
     def _group_runs(self) -> dict[str, list[Fields]]:
@@ -169,129 +176,123 @@
 
 
 def expect_words(prompt: str, count: int) -> list[str]:
-    """Return the words that the stand-in engine answers a prompt with."""
+    """Return the words of the stand-in engine's answer to a prompt."""
     head = hashlib.sha256(prompt.encode()).hexdigest()[:8]
     return [f'{head}-{number}' for number in range(count)]
 
 
-def check_all(evidence: Evidence, closed: bool = True) -> list[InvariantViolation]:
-    """Return every breach of every promise.
+def check_all(evidence: Evidence, closed: bool = True) -> list[Violation]:
+    """Return all violations of all invariants.
 
     Args:
-        evidence: What is known.
-        closed: Whether all sessions are closed or recovered, so that the
-            accounts' ``closed_spent`` is the whole bill.
+        evidence: The evidence to check.
+        closed: Whether all sessions are closed or recovered, so that ``closed_spent``
+            of the accounts is the complete bill.
     """
-    found = [
+    violations = [
         *check_accounts(evidence.history),
         *check_answers(evidence.received),
         *check_refusals(evidence),
         *check_single_runs(evidence),
     ]
-    return [*found, *check_bill(evidence)] if closed else found
+    return [*violations, *check_bill(evidence)] if closed else violations
 
 
-def check_accounts(history: Iterable[Fields]) -> list[InvariantViolation]:
+def check_accounts(history: Iterable[Fields]) -> list[Violation]:
     """Check each committed version of each account.
 
     Args:
-        history: Changes in order of commit.
+        history: Changes in commit order.
     """
-    found: list[InvariantViolation] = []
+    violations: list[Violation] = []
     before: dict[str, Fields] = {}
     for key, revision, account in _list_versions(history):
-        place = f'{key} at {revision}'
-        found += _check_version(place, account)
+        location = f'{key} at {revision}'
+        violations += _check_version(location, account)
         if key in before:
-            found += _check_transition(place, before[key], account)
+            violations += _check_transition(location, before[key], account)
         before[key] = account
-    return found
+    return violations
 
 
-def check_answers(received: Iterable[Received]) -> list[InvariantViolation]:
-    """Check that answers are whole and the caller's own, or typed failures."""
-    return [breach for one in received for breach in _check_answer(one)]
+def check_answers(received: Iterable[Received]) -> list[Violation]:
+    """Check that each answer is complete and for its own request, or a typed error."""
+    return [violation for call in received for violation in _check_answer(call)]
 
 
-def check_refusals(evidence: Evidence) -> list[InvariantViolation]:
-    """Check that what is said not to have run did not run.
+def check_refusals(evidence: Evidence) -> list[Violation]:
+    """Check that requests reported as not run did not run.
 
-    A refused call of a request that was called again counts when all of its
-    calls were refused so; else the run may be another call's.
+    A request with several calls is checked only if all of them were refused with this
+    statement; otherwise a run may belong to another call.
     """
-    found = []
+    violations = []
     for calls in evidence.group_received().values():
-        denied = [one.error.get('statement') == DID_NOT_RUN for one in calls]
+        denied = [call.error.get('statement') == DID_NOT_RUN for call in calls]
         runs = evidence.find_runs(calls[0])
         if all(denied) and runs:
-            found.append(
-                InvariantViolation('did not run', f'{calls[0].error} but {runs}')
-            )
-    return found
+            violations.append(Violation('did not run', f'{calls[0].error} but {runs}'))
+    return violations
 
 
-def check_single_runs(evidence: Evidence) -> list[InvariantViolation]:
+def check_single_runs(evidence: Evidence) -> list[Violation]:
     """Check that a request that is not idempotent ran at most once."""
-    found = []
+    violations = []
     for calls in evidence.group_received().values():
         runs = evidence.find_runs(calls[0])
-        if not all(one.idempotent for one in calls) and len(runs) > 1:
-            found.append(
-                InvariantViolation('runs at most once', f'{len(runs)} runs: {runs}')
+        if not all(call.idempotent for call in calls) and len(runs) > 1:
+            violations.append(
+                Violation('runs at most once', f'{len(runs)} runs: {runs}')
             )
-    return found
+    return violations
 
 
-def check_bill(evidence: Evidence) -> list[InvariantViolation]:
-    """Check that the closed accounts hold what the requests cost, once."""
+def check_bill(evidence: Evidence) -> list[Violation]:
+    """Check that the accounts billed the cost of each request exactly once."""
     accounts = read_accounts(evidence.history)
-    billed = sum(one['closed_spent'] for one in accounts.values())
-    due = bound_bill(evidence)
-    least = 0 if evidence.stranded else due.min_tokens
-    found = [
-        InvariantViolation(
-            'all sessions are closed', f'{key} holds {account["grants"]}'
-        )
+    billed = sum(entry['closed_spent'] for entry in accounts.values())
+    cost = bound_bill(evidence)
+    min_billed = 0 if evidence.stranded else cost.min_tokens
+    violations = [
+        Violation('all sessions are closed', f'{key} holds {account["grants"]}')
         for key, account in accounts.items()
         if account['grants'] and not evidence.stranded
     ]
-    if not least <= billed <= due.max_tokens:
-        found.append(
-            InvariantViolation('billed once', f'{billed} billed, due is {due}')
-        )
-    return found
+    if not min_billed <= billed <= cost.max_tokens:
+        violations.append(Violation('billed once', f'{billed} billed, cost is {cost}'))
+    return violations
 
 
 def read_accounts(history: Iterable[Fields]) -> dict[str, Fields]:
-    """Return the last committed version of every account."""
+    """Return the last committed version of each account."""
     return {key: account for key, _, account in _list_versions(history)}
 
 
 def bound_bill(evidence: Evidence) -> CostBounds:
-    """Return what all requests together may have cost."""
+    """Return the bounds of the total cost of all requests."""
     requests = evidence.group_received().values()
     bounds = [bound_request(calls, evidence.find_runs(calls[0])) for calls in requests]
     return sum(bounds, start=CostBounds())
 
 
 def bound_request(calls: Sequence[Received], runs: Sequence[Fields]) -> CostBounds:
-    """Return what one request may have cost.
+    """Return the bounds of the cost of one request.
 
     Args:
-        calls: All calls of it.
-        runs: All its runs at all targets.
+        calls: All calls of the request.
+        runs: All runs of the request at all targets.
     """
-    delivered = any(one.looks_whole for one in calls)
+    delivered = any(call.looks_whole for call in calls)
     if not calls[0].prompt:
         ran = _SERVICE_COST_TOKENS if runs else 0
         return CostBounds(ran if delivered else 0, ran)
     whole = max((_count_tokens(run) for run in runs if run['finished']), default=0)
     if delivered:
         return CostBounds(whole, whole)
-    if any(one.left for one in calls):
-        got = max(len(one.text) for one in calls)
-        most = max((_count_tokens(run) for run in runs), default=0)
-        return CostBounds(min(got, most), most)
+    if any(call.left for call in calls):
+        received_tokens = max(len(call.text) for call in calls)
+        max_tokens = max((_count_tokens(run) for run in runs), default=0)
+        return CostBounds(min(received_tokens, max_tokens), max_tokens)
     return CostBounds(0, whole)
 
 
@@ -302,64 +303,56 @@
             yield key, change['revision'], orjson.loads(change['value'])
 
 
-def _check_version(place: str, account: Fields) -> list[InvariantViolation]:
+def _check_version(location: str, account: Fields) -> list[Violation]:
     grants = account['grants'].values()
-    held = sum(grant['granted'] for grant in grants)
-    found = []
-    if account['closed_spent'] + held > account['topped_up']:
-        found.append(InvariantViolation('never overspent', f'{place}: {account}'))
+    granted = sum(grant['granted'] for grant in grants)
+    violations = []
+    if account['closed_spent'] + granted > account['topped_up']:
+        violations.append(Violation('never overspent', f'{location}: {account}'))
     if any(grant['spent'] > grant['granted'] for grant in grants):
-        found.append(
-            InvariantViolation('spent within the grant', f'{place}: {account}')
-        )
-    return found
+        violations.append(Violation('spent within the grant', f'{location}: {account}'))
+    return violations
 
 
-def _check_transition(
-    place: str, before: Fields, after: Fields
-) -> list[InvariantViolation]:
-    found = []
+def _check_transition(location: str, before: Fields, after: Fields) -> list[Violation]:
+    violations = []
     for name in ('topped_up', 'closed_spent'):
         if after[name] < before[name]:
-            found.append(InvariantViolation('cumulative', f'{place}: {name} went back'))
+            violations.append(Violation('cumulative', f'{location}: {name} decreased'))
     for session, grant in before['grants'].items():
         later = after['grants'].get(session, grant)
         for name in ('spent', 'floor', 'sequence'):
             if later[name] < grant[name]:
-                found.append(
-                    InvariantViolation('cumulative', f'{place}: {name} of {session}')
+                violations.append(
+                    Violation('cumulative', f'{location}: {name} of {session}')
                 )
-    return found
+    return violations
 
 
-def _check_answer(one: Received) -> list[InvariantViolation]:
-    if one.broken or one.left:
-        whole = expect_words(one.prompt, one.words)
-        if one.prompt and one.text != whole[: len(one.text)]:
-            return [InvariantViolation('own answer', f'{one.prompt}: {one.text}')]
+def _check_answer(call: Received) -> list[Violation]:
+    if call.broken or call.left:
+        whole = expect_words(call.prompt, call.words)
+        if call.prompt and call.text != whole[: len(call.text)]:
+            return [Violation('own answer', f'{call.prompt}: {call.text}')]
         return []
-    if one.looks_whole:
-        return _check_whole_answer(one)
-    if not one.error.get('code') or not one.error.get('statement'):
+    if call.looks_whole:
+        return _check_whole_answer(call)
+    if not call.error.get('code') or not call.error.get('statement'):
         return [
-            InvariantViolation(
-                'typed error', f'{one.prompt}{one.path}: {one.body[-200:]!r}'
-            )
+            Violation('typed error', f'{call.prompt}{call.path}: {call.body[-200:]!r}')
         ]
     return []
 
 
-def _check_whole_answer(one: Received) -> list[InvariantViolation]:
-    if one.prompt:
-        right = one.text == expect_words(one.prompt, one.words)
+def _check_whole_answer(call: Received) -> list[Violation]:
+    if call.prompt:
+        matches = call.text == expect_words(call.prompt, call.words)
     else:
-        echoed = hashlib.sha256(one.sent).hexdigest()
-        right = one.documents[0]['body_hash'] == echoed
-    name = f'{one.prompt}{one.path}'
+        echoed = hashlib.sha256(call.sent).hexdigest()
+        matches = call.documents[0]['body_hash'] == echoed
+    name = f'{call.prompt}{call.path}'
     return (
-        []
-        if right
-        else [InvariantViolation('whole answer', f'{name}: {one.body[-200:]!r}')]
+        [] if matches else [Violation('whole answer', f'{name}: {call.body[-200:]!r}')]
     )
 
 
--- a/packages/bench/src/ibisport_bench/launcher.py
+++ b/packages/bench/src/ibisport_bench/launcher.py
@@ -1,7 +1,7 @@
-"""Starts programs for tests and the demo, and waits until they serve.
+"""Starts programs for tests and the demo, and waits until they are ready.
 
-A program is ready when it has printed the line ``ready <host>:<port>``. Its
-standard output and error go to one log file.
+A program is ready once it has printed the line ``ready <host>:<port>``. Its standard
+output and standard error go to one log file.
 """
 
 import os
@@ -13,10 +13,10 @@
 
 from ibisport_bench.standins.errors import ProgramNotReady, ProgramNotStopped
 
-# Seconds of a program's own time, without those in which it waited for a processor:
-# a busy machine must not decide whether a start failed.
+# Without the time that the program waited for a processor, so that a start doesn't
+# fail merely because the machine is busy.
 READY_TIMEOUT_SECONDS = 20
-# Seconds after which a start has failed on any machine.
+# Limit that includes the time spent waiting for a processor.
 MAX_START_SECONDS = 120
 STOP_TIMEOUT_SECONDS = 20
 KILL_TIMEOUT_SECONDS = 10
@@ -31,9 +31,9 @@
     """A running program.
 
     Attributes:
-        process: Its process.
-        address: ``host:port`` of its ``ready`` line.
-        log_path: File with all that it printed.
+        process: Process of the program.
+        address: ``host:port`` from its ``ready`` line.
+        log_path: File with everything that the program has printed.
     """
 
     process: subprocess.Popen[bytes]
@@ -46,40 +46,40 @@
         return f'http://{self.address}'
 
     def find_address(self, word: str) -> str | None:
-        """Return the address of a further line such as ``ready-links``.
+        """Return the address from another line such as ``ready-links``.
 
         Args:
             word: First word of the line.
 
         Returns:
-            The second word of the first such line, or None.
+            The second word of the first such line, or None if there is no such line.
         """
         return _find_address(self.log_path, word)
 
     def wait_address(self, word: str, timeout: float = READY_TIMEOUT_SECONDS) -> str:
-        """Return the address of a further line once it is printed.
+        """Wait for another line such as ``ready-links`` and return its address.
 
         Raises:
-            ProgramNotReady: The line did not come in time.
+            ProgramNotReady: The line wasn't printed in time.
         """
         return _wait_address(self.process, self.log_path, word, timeout)
 
     def kill(self) -> None:
-        """End the program at once (SIGKILL) and wait for its end."""
+        """Kill the program (SIGKILL) and wait until it has exited."""
         self.process.kill()
         self.process.wait(KILL_TIMEOUT_SECONDS)
 
     def stop(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
-        """End the program gracefully (SIGTERM) and return its exit code.
+        """Stop the program gracefully (SIGTERM) and return its exit code.
 
         Args:
-            timeout: Seconds that it may take.
+            timeout: Seconds until the program is killed.
 
         Raises:
-            ProgramNotStopped: It took longer, and was killed.
+            ProgramNotStopped: The program didn't exit in time and was killed.
         """
         self.process.terminate()
-        # A paused program would never see the SIGTERM.
+        # A paused program doesn't handle SIGTERM.
         self.resume()
         try:
             return self.process.wait(timeout)
@@ -88,15 +88,15 @@
             raise ProgramNotStopped(repr(self.process.args)) from error
 
     def pause(self) -> None:
-        """Stop the program's execution (SIGSTOP)."""
+        """Suspend the program (SIGSTOP)."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused program go on (SIGCONT)."""
+        """Continue a paused program (SIGCONT)."""
         self.process.send_signal(signal.SIGCONT)
 
     def is_running(self) -> bool:
-        """Tell whether the program has not ended; a paused one counts."""
+        """Tell whether the program hasn't exited; a paused program is running too."""
         return self.process.poll() is None
 
 
@@ -109,15 +109,15 @@
 
     Args:
         arguments: Program and its arguments.
-        log_path: File for what it prints; one that exists is emptied.
-        environment: Variables added to those of this process.
+        log_path: File for the output of the program; an existing file is truncated.
+        environment: Environment variables added to those of this process.
 
     Returns:
         The running program.
 
     Raises:
-        ProgramNotReady: It ended, or did not get ready in 20 seconds of its own
-            time.
+        ProgramNotReady: The program exited, or wasn't ready after 20 seconds, not
+            counting the time that it waited for a processor.
     """
     path = Path(log_path)
     with path.open('wb') as log:
@@ -138,13 +138,14 @@
 
 
 def read_run_queue_wait(process: int) -> float:
-    """Return the seconds that a process was able to run and had no processor.
+    """Return the seconds that a runnable process has waited for a processor.
 
-    The second number of ``/proc/<pid>/schedstat`` (the kernel's
-    Documentation/scheduler/sched-stats.rst), of its first thread, which starts it.
+    This is the second number of ``/proc/<pid>/schedstat`` (see
+    Documentation/scheduler/sched-stats.rst of the kernel). It covers only the main
+    thread, which is the thread that starts up the program.
 
     Args:
-        process: Its id.
+        process: Process ID.
     """
     try:
         numbers = Path(f'/proc/{process}/schedstat').read_text().split()
@@ -156,16 +157,16 @@
 def _wait_address(
     process: subprocess.Popen[bytes], path: Path, word: str, timeout: float
 ) -> str:
-    begun = time.monotonic()
-    guard = begun + MAX_START_SECONDS
+    started_at = time.monotonic()
+    deadline = started_at + MAX_START_SECONDS
     while time.monotonic() < min(
-        guard, begun + timeout + read_run_queue_wait(process.pid)
+        deadline, started_at + timeout + read_run_queue_wait(process.pid)
     ):
-        ended = process.poll() is not None
+        exited = process.poll() is not None
         address = _find_address(path, word)
         if address is not None:
             return address
-        if ended:
+        if exited:
             break
         time.sleep(POLL_INTERVAL_SECONDS)
     tail = path.read_text(errors='replace')[-LOG_TAIL_CHARACTERS:]
@@ -175,7 +176,7 @@
 def _find_address(path: Path, word: str) -> str | None:
     for line in path.read_text(errors='replace').splitlines(keepends=True):
         words = line.split()
-        # A line without its end may still be in the making.
+        # A line without a newline may be incomplete.
         if line.endswith('\n') and words[:1] == [word] and len(words) > 1:
             return words[1]
     return None
--- a/packages/bench/src/ibisport_bench/relay.py
+++ b/packages/bench/src/ibisport_bench/relay.py
@@ -1,7 +1,7 @@
-"""TCP relay for link faults, in-process or as a program.
+"""A TCP relay that injects connection faults, in-process or as a program.
 
 ``python -m ibisport_bench.relay --to 127.0.0.1:8000`` prints ``ready <address>``
-and ``ready-control <address>``; the control port takes ``RelayOrder`` by POST.
+and ``ready-control <address>``; the control port accepts ``RelayOrder`` by POST.
 """
 
 import socket
@@ -29,18 +29,18 @@
 
 
 class Relay:
-    """Forwards TCP connections to one address and can disturb them.
+    """Forwards TCP connections to one address and can inject faults.
 
     Attributes:
-        address: ``host:port`` on which it listens.
+        address: ``host:port`` on which the relay listens.
     """
 
     def __init__(self, target: str, port: int = 0) -> None:
-        """Listen and start to forward.
+        """Start listening and forwarding.
 
         Args:
             target: ``host:port`` to forward to.
-            port: TCP port on 127.0.0.1; 0 takes a free one.
+            port: TCP port on 127.0.0.1; 0 selects a free port.
         """
         host, target_port = target.rsplit(':', 1)
         self._target = (host, int(target_port))
@@ -55,47 +55,47 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def cut(self) -> None:
-        """Close all connections; new ones work."""
+        """Close all open connections; new ones work."""
         for link in self._list_links():
             link.close()
 
     def silence_existing(
         self, directions: frozenset[Direction] = BOTH_DIRECTIONS
     ) -> None:
-        """Forward nothing on the connections of now; new ones work.
+        """Stop forwarding on the connections that are open now; new ones work.
 
         Args:
-            directions: Ways that go silent.
+            directions: Directions in which forwarding stops.
         """
         for link in self._list_links():
             link.silence(directions)
 
     def blackhole(self, directions: frozenset[Direction] = BOTH_DIRECTIONS) -> None:
-        """Forward nothing on any connection, new ones included.
+        """Stop forwarding on all connections, including new ones.
 
         Args:
-            directions: Ways that go silent.
+            directions: Directions in which forwarding stops.
         """
         with self._lock:
             self._blackholed = directions
         self.silence_existing(directions)
 
     def refuse(self, refusing: bool = True) -> None:
-        """Close new connections at once, or stop doing so."""
+        """Set whether new connections are closed immediately."""
         self._refusing = refusing
 
     def set_delay(self, milliseconds: float) -> None:
-        """Deliver all bytes later, on all connections.
+        """Delay all bytes on all connections.
 
         Args:
-            milliseconds: Delay each way.
+            milliseconds: Delay in each direction.
         """
         self._delay = milliseconds / MS_PER_SECOND
         for link in self._list_links():
             link.delay = self._delay
 
     def heal(self) -> None:
-        """End all faults; what was held back is delivered."""
+        """End all faults and deliver the bytes that were held back."""
         with self._lock:
             self._blackholed = frozenset()
         self._refusing = False
@@ -104,11 +104,11 @@
             link.resume()
 
     def count(self) -> tuple[int, int]:
-        """Return the numbers of connections accepted so far and open now."""
+        """Return the number of connections accepted so far, and of those open now."""
         return self._accepted, len(self._list_links())
 
     def close(self) -> None:
-        """Stop to listen and close all connections."""
+        """Stop listening and close all connections."""
         self._refusing = True
         self._listener.close()
         self.cut()
@@ -145,15 +145,16 @@
 
 
 class RelayOrder(BaseModel):
-    """What the control port takes; fields left out change nothing.
+    """Body of a control request; omitted fields change nothing.
 
     Attributes:
         heal: End all faults, before anything else.
         cut: Close all connections.
-        silence_existing: Ways to go silent on the connections of now.
-        blackhole: Ways to go silent on all connections.
-        refuse: Whether new connections are closed.
-        delay_ms: Delay each way.
+        silence_existing: Directions in which the connections that are open now stop
+            forwarding.
+        blackhole: Directions in which all connections stop forwarding.
+        refuse: Whether new connections are closed immediately.
+        delay_ms: Delay in each direction.
     """
 
     heal: bool = False
@@ -165,14 +166,14 @@
 
 
 class RelayControl:
-    """The control port as an HTTP application."""
+    """HTTP application of the control port."""
 
     def __init__(self, relay: Relay) -> None:
-        """Keep what is controlled."""
+        """Create the application for a relay."""
         self._relay = relay
 
     def __call__(self, call: Call) -> Answer:
-        """Serve one call; the answer tells the numbers of connections."""
+        """Handle a control request; the answer holds the connection counts."""
         if call.method == 'POST':
             try:
                 order = RelayOrder.model_validate_json(call.body)
@@ -198,12 +199,12 @@
 
 
 def make_server(to: str, port: int = 0, control_port: int = 0) -> Server:
-    """Make a relay and its control port.
+    """Create a relay and the server of its control port.
 
     Args:
         to: ``host:port`` to forward to.
-        port: TCP port on 127.0.0.1; 0 takes a free one.
-        control_port: TCP port of the controls; 0 takes a free one.
+        port: TCP port on 127.0.0.1; 0 selects a free port.
+        control_port: TCP port of the control server; 0 selects a free port.
     """
     relay = Relay(to, port)
     ready = Ready('ready-control', (f'ready {relay.address}',))
--- a/packages/bench/src/ibisport_bench/site.py
+++ b/packages/bench/src/ibisport_bench/site.py
@@ -1,7 +1,7 @@
-"""A whole site as separate processes: stand-ins, agents and routers.
+"""Runs a whole site as separate processes: stand-ins, agents and routers.
 
-Used by the demo, the features and the experiments. The catalogue is written
-through the operators' own functions.
+The demo, the features and the experiments use it. The catalogue is written through
+the same functions that operators use.
 """
 
 import itertools
@@ -23,8 +23,8 @@
 from ibisport_core.operators import Operator
 from ibisport_core.store import StoreClient
 
-# Seconds without any progress, and in all: how fast the links come one after the
-# other depends on what else the machine does.
+# A site without progress fails early. The total limit is generous, as the load of the
+# machine determines how fast the links are established.
 _MAX_SECONDS_WITHOUT_PROGRESS = 20.0
 _MAX_READY_SECONDS = 120.0
 _MAX_CONCURRENT_STARTS = 6
@@ -35,7 +35,7 @@
 
 
 class SiteNotReady(IbisportError):
-    """The site's processes did not get ready: read their logs."""
+    """The processes of the site didn't become ready; see their logs."""
 
     code = 'site_not_ready'
 
@@ -45,10 +45,10 @@
     """A workspace of a site.
 
     Attributes:
-        name: Its name; its bearer key is ``key-<name>``.
-        tokens: What its budget is topped up with.
-        weight: Its share beside others.
-        limits: Its limits as in the catalogue.
+        name: Name of the workspace; its bearer key is ``key-<name>``.
+        tokens: Initial top-up of its budget.
+        weight: Weight of its share, relative to other workspaces.
+        limits: Limits as in its catalogue entry.
     """
 
     name: str
@@ -59,20 +59,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SitePlan:
-    """How large a site is, and what its processes are told.
+    """Size of a site and settings of its processes.
 
     Attributes:
-        engines: Count of model engines.
-        services: Count of instances of the plain service.
-        routers: Count of routers.
-        domains: Failure domains, taken in turn.
-        workspaces: The customers.
+        engines: Number of model engines.
+        services: Number of instances of the plain service.
+        routers: Number of routers.
+        domains: Failure domains, assigned round-robin.
+        workspaces: Workspaces of the site.
         slots: Slots of each engine.
-        token_ms: Milliseconds a token at an engine.
-        router_flags: Further settings of routers.
-        agent_flags: Further settings of agents.
-        engine_flags: Further settings of engines.
-        store_flags: Further settings of the store's stand-in.
+        token_ms: Milliseconds per token at an engine.
+        router_flags: Additional settings of routers.
+        agent_flags: Additional settings of agents.
+        engine_flags: Additional settings of engines.
+        store_flags: Additional settings of the store's stand-in.
     """
 
     engines: int = 2
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class Target:
-    """A target and the agent beside it."""
+    """A target and its agent."""
 
     name: str
     domain: str
@@ -100,14 +100,14 @@
 
 
 class Site:
-    """The running processes of one site."""
+    """The processes of one site."""
 
     def __init__(self, plan: SitePlan, folder: Path) -> None:
         """Prepare a site; ``start`` starts its processes.
 
         Args:
-            plan: What to start.
-            folder: Where logs go.
+            plan: Size and settings of the site.
+            folder: Folder for the logs of the processes.
         """
         self.plan = plan
         self.folder = folder
@@ -120,25 +120,25 @@
 
     @property
     def store(self) -> Program:
-        """The key-value service's stand-in."""
+        """The stand-in of the key-value store."""
         if self._store is None:
             raise SiteNotReady('the site is not started')
         return self._store
 
     @property
     def client(self) -> StoreClient:
-        """A client of the store for checks and operators' work."""
+        """A store client for checks and operator functions."""
         if self._client is None:
             self._client = StoreClient((self.store.address,), 'operators')
         return self._client
 
     @property
     def operator(self) -> Operator:
-        """The operators' functions on this site's store."""
+        """The operator functions on the store of this site."""
         return Operator(self.client)
 
     def start(self) -> None:
-        """Start everything and wait until the routers serve."""
+        """Start all processes and wait until the routers are ready."""
         self.folder.mkdir(parents=True, exist_ok=True)
         flags = _make_flags({'port': 0, **self.plan.store_flags})
         self._store = self._start_program(
@@ -146,24 +146,24 @@
         )
         self._fill_catalogue()
         with ThreadPoolExecutor(_MAX_CONCURRENT_STARTS) as pool:
-            started: list[Future[Any]] = [
+            starts: list[Future[Any]] = [
                 pool.submit(self.add_target, f'engine-{number}', number, [MODEL])
                 for number in range(self.plan.engines)
             ]
-            started += [
+            starts += [
                 pool.submit(self.add_target, f'service-{number}', number, SERVICE)
                 for number in range(self.plan.services)
             ]
-            started += [
+            starts += [
                 pool.submit(self.add_router, number=number)
                 for number in range(self.plan.routers)
             ]
-            for waited in started:
-                waited.result()
+            for start in starts:
+                start.result()
         self.wait_ready()
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill all processes."""
         if self._client is not None:
             self._client.close()
             self._client = None
@@ -172,7 +172,7 @@
                 program.kill()
 
     def add_target(self, name: str, number: int, serves: str | list[str]) -> Target:
-        """Start a target with its agent and write its catalogue entry."""
+        """Start a target and its agent, and write the target's catalogue entry."""
         domain = self.plan.domains[number % len(self.plan.domains)]
         program = self.start_target(name, isinstance(serves, str))
         agent = self.start_agent(name, domain, program.address)
@@ -200,7 +200,7 @@
     def start_agent(
         self, name: str, domain: str, target_address: str, listen: str = '127.0.0.1:0'
     ) -> Program:
-        """Start the agent beside a target."""
+        """Start the agent of a target."""
         flags = {
             'target': name,
             'target-address': target_address,
@@ -214,7 +214,7 @@
         return self._start_program(f'agent-{name}', arguments)
 
     def restart_agent(self, name: str) -> None:
-        """Start a fresh incarnation of an agent at the address of the old one."""
+        """Start a new incarnation of an agent at the same address."""
         target = self.targets[name]
         target.agent = self.start_agent(
             name, target.domain, target.program.address, target.agent.address
@@ -236,17 +236,18 @@
         )
 
     def add_router(self, number: int | None = None, **changes: Any) -> Program:
-        """Start one more router.
+        """Start another router.
 
         Args:
-            number: Its place among the failure domains; the next by default.
-            changes: Settings that differ from the plan's.
+            number: Number of the router, which determines its failure domain; the next
+                number by default.
+            changes: Settings that override those of the plan.
         """
-        place = len(self.routers) if number is None else number
+        router_number = len(self.routers) if number is None else number
         flags = {
             'store': self.store.address,
-            'failure-domain': self.plan.domains[place % len(self.plan.domains)],
-            'host': f'entry-{place}',
+            'failure-domain': self.plan.domains[router_number % len(self.plan.domains)],
+            'host': f'entry-{router_number}',
             **self.plan.router_flags,
             **changes,
         }
@@ -256,36 +257,42 @@
         return router
 
     def wait_ready(self, targets: int | None = None) -> None:
-        """Wait until every running router is linked to all targets.
+        """Wait until every running router is ready and can use all targets.
+
+        Args:
+            targets: Number of targets to wait for; all targets by default.
 
         Raises:
-            SiteNotReady: What is still missing has not changed for long.
+            SiteNotReady: Something is still missing and there was no progress for 20
+                seconds, or the site wasn't ready after 120 seconds.
         """
-        wanted = len(self.targets) if targets is None else targets
-        guard = time.monotonic() + _MAX_READY_SECONDS
-        stuck_at = guard
+        target_count = len(self.targets) if targets is None else targets
+        deadline = time.monotonic() + _MAX_READY_SECONDS
+        no_progress_deadline = deadline
         missing: list[str] = []
-        while time.monotonic() < min(stuck_at, guard):
-            running = [one for one in self.routers if one.is_running()]
-            still = [
-                lack for one in running for lack in self._list_missing(one, wanted)
+        while time.monotonic() < min(no_progress_deadline, deadline):
+            running = [router for router in self.routers if router.is_running()]
+            now_missing = [
+                line
+                for router in running
+                for line in self._list_missing(router, target_count)
             ]
-            if not still:
+            if not now_missing:
                 return
-            if still != missing:
-                missing = still
-                stuck_at = time.monotonic() + _MAX_SECONDS_WITHOUT_PROGRESS
+            if now_missing != missing:
+                missing = now_missing
+                no_progress_deadline = time.monotonic() + _MAX_SECONDS_WITHOUT_PROGRESS
             time.sleep(_POLL_INTERVAL_SECONDS)
         raise SiteNotReady(f'{self.folder}: {"; ".join(missing)}')
 
     def read_state(self, router: Program) -> dict[str, Any]:
-        """Return what a router believes."""
+        """Return the state that a router reports on its status port."""
         address = router.wait_address('ready-status')
         answer = self.http.request('GET', f'http://{address}/state', timeout=5)
         return orjson.loads(answer.data)  # type: ignore[no-any-return]
 
     def put_entry(self, kind: EntryKind, document: dict[str, Any]) -> None:
-        """Write a catalogue entry over whatever stands there."""
+        """Write a catalogue entry, replacing an existing one."""
         content = orjson.dumps({'owner': _OWNER, **document})
         revision = 0
         for entry in self.operator.list_entries(kind):
@@ -294,19 +301,19 @@
         self.operator.put_entry(kind, content, revision)
 
     def set_faults(self, program: Program, **faults: Any) -> None:
-        """Set the faults of a stand-in."""
+        """Set the injected faults of a stand-in."""
         body = orjson.dumps(faults)
         self.http.request('POST', f'{program.url}/faults', body=body, timeout=5)
 
     def read_runs(self, service: bool = False) -> list[dict[str, Any]]:
         """Return the run logs of all engines, or of all plain services."""
-        found: list[dict[str, Any]] = []
+        runs: list[dict[str, Any]] = []
         for target in self.targets.values():
             if isinstance(target.serves, str) == service:
                 answer = self.http.request('GET', f'{target.program.url}/runs')
                 log = orjson.loads(answer.data)
-                found += log['runs'] if service else log
-        return found
+                runs += log['runs'] if service else log
+        return runs
 
     def _fill_catalogue(self) -> None:
         self.put_entry(EntryKind.service_class, {'name': 'standard'})
@@ -319,7 +326,7 @@
             self.add_workspace(plan)
 
     def add_workspace(self, plan: WorkspacePlan) -> None:
-        """Write a workspace's entry and top its budget up."""
+        """Write the entry of a workspace and top up its budget."""
         key = {'hash': hash_key(f'key-{plan.name}'), 'budget': 'main'}
         self.put_entry(
             EntryKind.workspace,
@@ -343,18 +350,18 @@
         return programs
 
     def _list_missing(self, router: Program, targets: int) -> list[str]:
-        """Return what a router lacks before it serves at so many targets."""
+        """Return the reasons why a router can't use so many targets yet."""
         name = router.log_path.stem
         try:
             state = self.read_state(router)
         except urllib3.exceptions.HTTPError as error:
             return [f'{name} does not answer: {type(error).__name__}']
-        lacks = [] if state['session_open'] else [f'{name} has no session']
+        missing = [] if state['session_open'] else [f'{name} has no session']
         links = state['targets']
         if sum(link['usable'] for link in links.values()) >= targets:
-            return lacks
-        lacks.append(f'{name} knows {len(links)} of {targets} targets')
-        return lacks + [
+            return missing
+        missing.append(f'{name} knows {len(links)} of {targets} targets')
+        return missing + [
             f'{name} cannot use {target}: {_format_link(link)}'
             for target, link in links.items()
             if not link['usable']
--- a/packages/bench/src/ibisport_bench/virtualnet.py
+++ b/packages/bench/src/ibisport_bench/virtualnet.py
@@ -1,7 +1,8 @@
-"""An event loop whose connections lie in memory: whole sites in virtual time.
+"""An event loop with an in-memory network, to run whole sites in virtual time.
 
-Each end of a connection belongs to a host. What a task opens belongs to the host that
-the task runs on, so that one process can end while the others go on.
+Each end of a connection belongs to a host. Connections and listeners that a task opens
+belong to the host of the task, so that the process of one host can exit while the
+others continue.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 
 
 class Listener:
-    """What accepts connections to one address; it is its own socket."""
+    """Accepts connections to one address; also serves as its own socket."""
 
     def __init__(
         self, net: 'VirtualNetwork', address: Address, factory: ProtocolFactory
@@ -37,32 +38,32 @@
 
     @property
     def host(self) -> str:
-        """The host that it belongs to."""
+        """The host that the listener belongs to."""
         return self.context.get(_HOST, '')
 
     def getsockname(self) -> Address:
-        """Return the address."""
+        """Return the address of the listener."""
         return self._address
 
     def is_serving(self) -> bool:
-        """Whether connections are accepted."""
+        """Tell whether connections are accepted."""
         return self._net.listeners.get(self._address) is self
 
     def close(self) -> None:
-        """Refuse connections from now on; those that stand are kept."""
+        """Refuse new connections; existing ones stay open."""
         if self.is_serving():
             self._net.listeners.pop(self._address)
 
     async def wait_closed(self) -> None:
-        """Return; closing takes no time."""
+        """Return at once: closing takes no time."""
 
 
 class VirtualNetwork(VirtualLoop):
-    """A loop in virtual time with a network of its own.
+    """An event loop in virtual time with its own network.
 
     Attributes:
-        links: How bytes go from a host to another, where not by a usual link.
-        listeners: What accepts connections, by address.
+        links: Links by source and destination host; all others have the defaults.
+        listeners: Open listeners by address.
     """
 
     def __init__(self) -> None:
@@ -72,17 +73,17 @@
         self._endpoints: list[MemoryTransport] = []
         self._tasks: dict[asyncio.Task[Any], str] = {}
         self._ports = itertools.count(FIRST_FREE_PORT)
-        # The stubs don't know that a factory may get a context.
+        # The type stubs don't declare the context argument of a task factory.
         self.set_task_factory(cast(Any, self._make_task))
 
     def find_link(self, source: str, destination: str) -> Link:
-        """Return how bytes go from one host to another."""
+        """Return the link from one host to another."""
         return self.links.get((source, destination)) or Link()
 
     async def create_server(  # type: ignore[override]
         self, factory: ProtocolFactory, host: str, port: int, **_: Any
     ) -> Listener:
-        """Accept connections to an address; port 0 is a free one."""
+        """Accept connections to an address; port 0 selects a free port."""
         address = host, port or next(self._ports)
         if address in self.listeners:
             raise OSError(errno.EADDRINUSE, f'{address} is in use')
@@ -95,44 +96,52 @@
         """Connect to an address.
 
         Raises:
-            ConnectionRefusedError: Nobody listens there.
+            ConnectionRefusedError: No listener is open at the address.
         """
-        address, own = (host, port), (_HOST.get(), next(self._ports))
+        address, local_address = (host, port), (_HOST.get(), next(self._ports))
         listener = self.listeners.get(address)
-        there = '' if listener is None else listener.host
-        await asyncio.sleep(self.find_link(own[0], there).delay)
+        peer_host = '' if listener is None else listener.host
+        await asyncio.sleep(self.find_link(local_address[0], peer_host).delay)
         if listener is None or not listener.is_serving():
-            await asyncio.sleep(self.find_link(there, own[0]).delay)
+            await asyncio.sleep(self.find_link(peer_host, local_address[0]).delay)
             raise ConnectionRefusedError(errno.ECONNREFUSED, f'{address} refused')
-        theirs = listener.context.run(
-            MemoryTransport, self, there, listener.factory, address, own
+        peer_transport = listener.context.run(
+            MemoryTransport, self, peer_host, listener.factory, address, local_address
         )
-        ours = MemoryTransport(self, own[0], factory, own, address)
-        ours.peer, theirs.peer = theirs, ours
-        self._endpoints = [one for one in self._endpoints if not one.disconnected]
-        self._endpoints += (ours, theirs)
-        listener.context.copy().run(theirs.connect)
-        await asyncio.sleep(self.find_link(there, own[0]).delay)
-        ours.connect()
-        return ours, ours.get_protocol()
+        transport = MemoryTransport(
+            self, local_address[0], factory, local_address, address
+        )
+        transport.peer, peer_transport.peer = peer_transport, transport
+        self._endpoints = [
+            endpoint for endpoint in self._endpoints if not endpoint.disconnected
+        ]
+        self._endpoints += (transport, peer_transport)
+        listener.context.copy().run(peer_transport.connect)
+        await asyncio.sleep(self.find_link(peer_host, local_address[0]).delay)
+        transport.connect()
+        return transport, transport.get_protocol()
 
     def start_on(self, host: str, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task on a host; what it starts and opens is that host's too."""
+        """Start a task on a host, which also owns all that the task starts or opens."""
         context = contextvars.copy_context()
         context.run(_HOST.set, host)
         return self.create_task(work, context=context)
 
     async def run_process(self, host: str, work: Coroutine[Any, Any, Any]) -> None:
-        """Do a process's work, then end all that it left, as ``asyncio.run`` does."""
+        """Run a process to completion, then cancel its remaining tasks.
+
+        Like ``asyncio.run``, it waits for the cancelled tasks; then it closes the
+        connections and listeners of the host.
+        """
         try:
             await self.start_on(host, work)
         finally:
-            left = self._cancel_tasks(host)
-            await asyncio.gather(*left, return_exceptions=True)
+            cancelled = self._cancel_tasks(host)
+            await asyncio.gather(*cancelled, return_exceptions=True)
             self._close_connections(host)
 
     def kill(self, host: str) -> None:
-        """End a process at once: none of its tasks can say anything more."""
+        """Kill a process: close its connections before its tasks can send anything."""
         self._close_connections(host)
         self._cancel_tasks(host)
 
@@ -140,12 +149,12 @@
         for listener in tuple(self.listeners.values()):
             if listener.host == host:
                 listener.close()
-        for end in self._endpoints:
-            if end.host == host:
-                end.close_on_exit()
+        for endpoint in self._endpoints:
+            if endpoint.host == host:
+                endpoint.close_on_exit()
 
     def _cancel_tasks(self, host: str) -> list[asyncio.Task[Any]]:
-        tasks = [task for task, where in self._tasks.items() if where == host]
+        tasks = [task for task, owner in self._tasks.items() if owner == host]
         for task in tasks:
             task.cancel()
         return tasks
@@ -157,13 +166,13 @@
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[Any]:
         task = asyncio.Task(work, loop=loop, context=context)
-        where = contextvars.copy_context() if context is None else context
-        self._tasks[task] = where.get(_HOST, '')
+        task_context = contextvars.copy_context() if context is None else context
+        self._tasks[task] = task_context.get(_HOST, '')
         task.add_done_callback(self._tasks.pop)
         return task
 
 
-def run_on_net(play: Callable[[VirtualNetwork], Coroutine[Any, Any, Any]]) -> Any:
-    """Run a play to its end on a network of its own."""
+def run_on_net(main: Callable[[VirtualNetwork], Coroutine[Any, Any, Any]]) -> Any:
+    """Run a coroutine function to completion on a new network."""
     with asyncio.Runner(loop_factory=VirtualNetwork) as runner:
-        return runner.run(play(cast(VirtualNetwork, runner.get_loop())))
+        return runner.run(main(cast(VirtualNetwork, runner.get_loop())))
--- a/packages/bench/src/ibisport_bench/virtualtime.py
+++ b/packages/bench/src/ibisport_bench/virtualtime.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, for seeded runs without waits."""
+"""An event loop in virtual time for seeded runs: it jumps to the next timer."""
 
 import asyncio
 import selectors
@@ -7,7 +7,7 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Lets the time that a wait would take pass at once."""
+    """Advances a virtual clock instead of waiting for a timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -16,7 +16,7 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready now, and count the wait as passed."""
+        """Return the ready file objects, or advance the clock by the timeout."""
         ready = super().select(0)
         if not ready and timeout is not None and timeout > 0:
             self.now += timeout
@@ -24,22 +24,22 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop for tasks that use timers only."""
+    """An event loop in virtual time, for tasks that wait only for timers."""
 
     def __init__(self) -> None:
         self._time_selector = _VirtualTimeSelector()
         super().__init__(self._time_selector)
 
     def stand_still(self, seconds: float) -> None:
-        """Let time pass in which nothing runs."""
+        """Advance the clock as if the process were suspended for that long."""
         self._time_selector.now += seconds
 
     def time(self) -> float:
-        """Return the virtual seconds since the loop was made."""
+        """Return the virtual seconds since the loop was created."""
         return self._time_selector.now
 
 
 def run_virtually(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work)
