--- a/features/steps/shutdowns_steps.py
+++ b/features/steps/shutdowns_steps.py
@@ -332,7 +332,7 @@
 def stop_during_loan(context):
     async def run():
         world, other = await start_budget_world(context)
-        caller = asyncio.create_task(world.borrow(other, REQUEST_TOKENS))
+        caller = asyncio.create_task(world.reserve(other, REQUEST_TOKENS))
         await asyncio.sleep(LINK_SECONDS * 1.5)
         caller.cancel()
         await stop_router(context, world, other)
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -349,8 +349,10 @@
     context.failure = None
     with (
         tempfile.TemporaryDirectory() as folder,
-        mock.patch.object(launcher, 'READY_TIMEOUT', SHORT_READY_TIMEOUT_SECONDS),
-        mock.patch.object(launcher, 'read_waited', return_value=processor_wait),
+        mock.patch.object(
+            launcher, 'READY_TIMEOUT_SECONDS', SHORT_READY_TIMEOUT_SECONDS
+        ),
+        mock.patch.object(launcher, 'read_run_queue_wait', return_value=processor_wait),
     ):
         try:
             program = start_program(context.late, Path(folder) / 'log')
--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -29,7 +29,7 @@
 LATEST_SEND_SECONDS = 3.0
 FINAL_FRACTION = 1 / 6
 TOKEN_HEADER = 'Token-Usage: 90,10\r\n'
-LINKS = (Link(), Link(delay=0.05), Link(rate=20_000.0, room=16_384))
+LINKS = (Link(), Link(delay=0.05), Link(rate=20_000.0, buffer_bytes=16_384))
 # Store calls take 5 ms, 50 ms or 0.4 s.
 STORE_SLOWDOWNS = (1.0, 10.0, 80.0)
 
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -29,7 +29,7 @@
 UNCERTAIN_STATUSES = frozenset((500, 502, 504))
 # Store calls take 2 s each way, longer than any request waits.
 STORE_SLOWDOWN = 1_000.0
-SLOW_LINK = Link(rate=50_000.0, room=16_384)
+SLOW_LINK = Link(rate=50_000.0, buffer_bytes=16_384)
 LARGE_ANSWER_BYTES = 200_000
 
 
