--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -241,10 +241,13 @@
     context.seen = []
     for share_prefix in (True, False):
         fleet = replace(
-            experiment.TENGERI, load=load, seconds=100, share_prefix=share_prefix
+            experiment.SMALL_FLEET, load=load, seconds=100, share_prefix=share_prefix
         )
         context.seen.append(
-            {way.name: FleetRun(fleet, way.make, 1).run() for way in experiment.WAYS}
+            {
+                way.name: FleetRun(fleet, way.make, 1).run()
+                for way in experiment.CHOOSERS
+            }
         )
 
 
--- a/features/steps/load.py
+++ b/features/steps/load.py
@@ -8,8 +8,8 @@
 
 from sites import Answer, ask, expect_words, make_body, read_words
 
-BACK_OFF_SECONDS = 0.1
-MOST_TRIES = 100
+BACKOFF_SECONDS = 0.1
+MAX_TRIES = 100
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
 
     def _ask_until_served(self, prompt: str, number: int, stream: bool) -> None:
         body = make_body(prompt, stream)
-        for turn in range(MOST_TRIES):
+        for turn in range(MAX_TRIES):
             routers = self._list_routers()
             router = routers[(number + turn) % len(routers)]
             answer = ask(router, 'small', body)
@@ -71,8 +71,8 @@
             if not _did_not_run(answer):
                 self.failures.append(f'{prompt}: {answer}')
                 return
-            time.sleep(BACK_OFF_SECONDS)
-        self.failures.append(f'{prompt}: not served in {MOST_TRIES} tries')
+            time.sleep(BACKOFF_SECONDS)
+        self.failures.append(f'{prompt}: not served in {MAX_TRIES} tries')
 
     def _check(self, answer: Answer, prompt: str) -> None:
         if read_words(answer) == expect_words(prompt, self.words):
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -15,12 +15,12 @@
 from ibisport_bench.experiments.regression import list_breaches
 from ibisport_bench.launcher import start_program
 from ibisport_bench.load import recording
+from ibisport_bench.load.answer_check import check_answer
 from ibisport_bench.load.arrivals import Arrival, draw_arrivals
 from ibisport_bench.load.caller import Caller
 from ibisport_bench.load.config import LoadConfig
 from ibisport_bench.load.recording import Recorder
 from ibisport_bench.load.runner import run_load
-from ibisport_bench.load.wholeness import check_answer
 
 TOOL_SECONDS = 30
 MILLIS = 1000
@@ -109,7 +109,7 @@
 def check_stalled(context: Any, count: int) -> None:
     found = context.recorder.describe()
     assert found['counts']['verdict.whole'] == count, found['counts']
-    quickest = context.recorder.list_curve(recording.TOTAL)[0]
+    quickest = context.recorder.list_percentiles(recording.TOTAL)[0]
     # The histogram rounds to three digits.
     assert quickest[1] >= 0.99 * MILLIS, quickest
 
--- a/packages/bench/src/ibisport_bench/experiments/choice.py
+++ b/packages/bench/src/ibisport_bench/experiments/choice.py
@@ -11,7 +11,12 @@
 import fire
 
 from ibisport_bench.experiments.figures import compute_percentile, print_table
-from ibisport_bench.experiments.fleet_model import Fleet, FleetRun, MakeChooser, Seen
+from ibisport_bench.experiments.fleet_model import (
+    Fleet,
+    FleetFigures,
+    FleetRun,
+    MakeChooser,
+)
 from ibisport_router.internal.choice import (
     Candidate,
     ChoiceOptions,
@@ -24,33 +29,39 @@
     RoundRobinChooser,
 )
 
-SEEDS = 3
+SEED_COUNT = 3
 LOADS = (0.5, 0.9)
-TENGERI = Fleet(targets=6, routers=4, prefixes=40, load=0)
-LARGER = Fleet(targets=24, routers=8, prefixes=160, load=0, seconds=60)
+SMALL_FLEET = Fleet(targets=6, routers=4, prefixes=40, load=0)
+LARGE_FLEET = Fleet(targets=24, routers=8, prefixes=160, load=0, seconds=60)
 FLEETS = (
-    ('6 targets, 4 routers', TENGERI),
-    ('6 targets, 4 routers, no shared prefixes', replace(TENGERI, share_prefix=False)),
-    ('24 targets, 8 routers', LARGER),
-    ('24 targets, 8 routers, no shared prefixes', replace(LARGER, share_prefix=False)),
+    ('6 targets, 4 routers', SMALL_FLEET),
+    (
+        '6 targets, 4 routers, no shared prefixes',
+        replace(SMALL_FLEET, share_prefix=False),
+    ),
+    ('24 targets, 8 routers', LARGE_FLEET),
+    (
+        '24 targets, 8 routers, no shared prefixes',
+        replace(LARGE_FLEET, share_prefix=False),
+    ),
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class ChooserVariant:
     """A way to choose under its name."""
 
     name: str
     make: MakeChooser
 
 
-def make_ours(name: str, options: ChoiceOptions) -> Way:
+def make_target_chooser(name: str, options: ChoiceOptions) -> ChooserVariant:
     """Return our chooser with other constants."""
 
     def make(domain: str, seeded: random.Random, clock: Callable[[], float]) -> Chooser:
         return TargetChooser(domain, seeded, clock, options)
 
-    return Way(name, make)
+    return ChooserVariant(name, make)
 
 
 class PairChooser(TargetChooser):
@@ -66,40 +77,45 @@
         return self._random.sample(candidates, min(2, len(candidates)))
 
 
-OURS = make_ours('ours', ChoiceOptions())
-WAYS = (
+OURS = make_target_chooser('ours', ChoiceOptions())
+CHOOSERS = (
     OURS,
-    Way('round robin', lambda _domain, _random, _clock: RoundRobinChooser()),
-    Way('random', lambda _domain, seeded, _clock: RandomChooser(seeded)),
-    Way('least reported', lambda _domain, seeded, _clock: LeastReportedChooser(seeded)),
+    ChooserVariant('round robin', lambda _domain, _random, _clock: RoundRobinChooser()),
+    ChooserVariant('random', lambda _domain, seeded, _clock: RandomChooser(seeded)),
+    ChooserVariant(
+        'least reported', lambda _domain, seeded, _clock: LeastReportedChooser(seeded)
+    ),
 )
 VARIANTS = (
     OURS,
-    Way('random pairs', PairChooser),
-    make_ours('homes 0', ChoiceOptions(homes=0)),
-    make_ours('homes 1', ChoiceOptions(homes=1)),
-    make_ours('homes 3', ChoiceOptions(homes=3)),
-    make_ours('load bound 1', ChoiceOptions(load_bound=1)),
-    make_ours('load bound 1.5', ChoiceOptions(load_bound=1.5)),
-    make_ours('load bound 2', ChoiceOptions(load_bound=2)),
-    make_ours('draws 1', ChoiceOptions(draws=1)),
-    make_ours('draws 2', ChoiceOptions(draws=2)),
-    make_ours('draws 6', ChoiceOptions(draws=6)),
-    make_ours('imbalance 0', ChoiceOptions(imbalance=0)),
-    make_ours('no imbalance', ChoiceOptions(imbalance=99)),
-    make_ours('domain margin 0', ChoiceOptions(domain_margin=0)),
-    make_ours('domain margin 0.3', ChoiceOptions(domain_margin=0.3)),
+    ChooserVariant('random pairs', PairChooser),
+    make_target_chooser('homes 0', ChoiceOptions(homes=0)),
+    make_target_chooser('homes 1', ChoiceOptions(homes=1)),
+    make_target_chooser('homes 3', ChoiceOptions(homes=3)),
+    make_target_chooser('load bound 1', ChoiceOptions(load_bound=1)),
+    make_target_chooser('load bound 1.5', ChoiceOptions(load_bound=1.5)),
+    make_target_chooser('load bound 2', ChoiceOptions(load_bound=2)),
+    make_target_chooser('draws 1', ChoiceOptions(draws=1)),
+    make_target_chooser('draws 2', ChoiceOptions(draws=2)),
+    make_target_chooser('draws 6', ChoiceOptions(draws=6)),
+    make_target_chooser('imbalance 0', ChoiceOptions(imbalance=0)),
+    make_target_chooser('no imbalance', ChoiceOptions(imbalance=99)),
+    make_target_chooser('domain margin 0', ChoiceOptions(domain_margin=0)),
+    make_target_chooser('domain margin 0.3', ChoiceOptions(domain_margin=0.3)),
 )
 
 
-def compare_ways(ways: tuple[Way, ...], title: str, fleet: Fleet, seed: int) -> None:
+def compare_choosers(
+    ways: tuple[ChooserVariant, ...], title: str, fleet: Fleet, seed: int
+) -> None:
     """Print times to the first token and cache hits of each way."""
     rows = []
     for load in LOADS:
         for way in ways:
             loaded = replace(fleet, load=load)
             runs = [
-                FleetRun(loaded, way.make, seed + step).run() for step in range(SEEDS)
+                FleetRun(loaded, way.make, seed + step).run()
+                for step in range(SEED_COUNT)
             ]
             rows.append((f'{load}', way.name, *_format_runs(runs)))
     columns = ('load', 'way', 'p50', 'p95', 'p99', 'cache hits')
@@ -113,16 +129,16 @@
         seed: First seed; each figure pools three in a row.
         part: ``ways``, ``variants`` or ``all``.
     """
-    print(f'seed {seed}, {SEEDS} seeds pooled')
+    print(f'seed {seed}, {SEED_COUNT} seeds pooled')
     if part in {'ways', 'all'}:
         for title, fleet in FLEETS:
-            compare_ways(WAYS, title, fleet, seed)
+            compare_choosers(CHOOSERS, title, fleet, seed)
     if part in {'variants', 'all'}:
         for variant_title, variant_fleet in FLEETS[:2]:
-            compare_ways(VARIANTS, variant_title, variant_fleet, seed)
+            compare_choosers(VARIANTS, variant_title, variant_fleet, seed)
 
 
-def _format_runs(runs: list[Seen]) -> list[str]:
+def _format_runs(runs: list[FleetFigures]) -> list[str]:
     first_tokens = [sample for run in runs for sample in run.first_tokens]
     hits = sum(run.hits for run in runs)
     started = sum(run.started for run in runs)
--- a/packages/bench/src/ibisport_bench/experiments/fairness.py
+++ b/packages/bench/src/ibisport_bench/experiments/fairness.py
@@ -27,8 +27,8 @@
     CAPACITY,
     MEAN_TOKENS,
     SLOTS,
-    Observed,
     Source,
+    TargetFigures,
     TargetRun,
 )
 
@@ -36,14 +36,14 @@
 SMALL_LOADS = (0.45, 0.7)
 LARGE_FACTORS = (0, 1, 10, 100)
 LOADS = (0.5, 0.9, 1.0, 1.2, 2.0)
-SECONDS = 300
-SEEDS = 3
-WARM_UP = 30
+RUN_SECONDS = 300
+SEED_COUNT = 3
+WARM_UP_SECONDS = 30
 LARGE = 'large'
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class PolicyVariant:
     """A queue policy under its name."""
 
     name: str
@@ -65,21 +65,21 @@
 
 def make_fair(
     name: str, reserve: Reserve | None = None, head_start: float | None = None
-) -> Way:
+) -> PolicyVariant:
     """Return the fair queue with other constants."""
     usual = FairOptions()
     options = FairOptions(
         reserve=usual.reserve if reserve is None else reserve,
         head_start=usual.head_start if head_start is None else head_start,
     )
-    return Way(name, lambda: FairPolicy(SLOTS, options))
+    return PolicyVariant(name, lambda: FairPolicy(SLOTS, options))
 
 
 FAIR = make_fair('fair')
-WAYS = (
+POLICIES = (
     FAIR,
-    Way('FIFO', lambda: PlainPolicy(SLOTS, FifoOrder())),
-    Way('round robin', lambda: PlainPolicy(SLOTS, RoundRobinOrder())),
+    PolicyVariant('FIFO', lambda: PlainPolicy(SLOTS, FifoOrder())),
+    PolicyVariant('round robin', lambda: PlainPolicy(SLOTS, RoundRobinOrder())),
 )
 RESERVES = (
     make_fair('none', NoReserve()),
@@ -98,11 +98,13 @@
 )
 
 
-def run_way(way: Way, sources: list[Source], seed: int) -> list[Observed]:
+def run_policy(
+    way: PolicyVariant, sources: list[Source], seed: int
+) -> list[TargetFigures]:
     """Run one way with a few seeds."""
     return [
-        TargetRun(way.make(), seed + step, SECONDS, WARM_UP).run(sources)
-        for step in range(SEEDS)
+        TargetRun(way.make(), seed + step, RUN_SECONDS, WARM_UP_SECONDS).run(sources)
+        for step in range(SEED_COUNT)
     ]
 
 
@@ -122,7 +124,9 @@
     return [*sources, Source(LARGE, factor * share, priority)]
 
 
-def gather(runs: list[Observed], kind: str, priority: int | None = None) -> list[float]:
+def gather(
+    runs: list[TargetFigures], kind: str, priority: int | None = None
+) -> list[float]:
     """Return the samples of the small workspaces.
 
     Args:
@@ -138,9 +142,9 @@
     return samples
 
 
-def measure_goodput(runs: list[Observed]) -> Goodput:
+def measure_goodput(runs: list[TargetFigures]) -> Goodput:
     """Return what came in time, as parts of the capacity."""
-    seconds = (SECONDS - WARM_UP) * len(runs)
+    seconds = (RUN_SECONDS - WARM_UP_SECONDS) * len(runs)
     return Goodput(
         slot_time=sum(run.seconds_in_time for run in runs) / seconds / SLOTS,
         tokens=sum(run.tokens_in_time for run in runs)
@@ -149,20 +153,20 @@
     )
 
 
-def measure_refused(runs: list[Observed], large: bool) -> float:
+def measure_refused(runs: list[TargetFigures], large: bool) -> float:
     """Return the part of the requests that was refused or expired."""
     names = {name for run in runs for name in run.sent if (name == LARGE) is large}
     sent = sum(run.sent[name] for run in runs for name in names)
     return sum(run.refused[name] for run in runs for name in names) / max(sent, 1)
 
 
-def compare_neighbours(ways: tuple[Way, ...], load: float, seed: int) -> None:
+def compare_neighbours(ways: tuple[PolicyVariant, ...], load: float, seed: int) -> None:
     """Print the small workspaces' waits alone and beside a large one."""
     rows = []
     for way in ways:
         alone = float('nan')
         for factor in LARGE_FACTORS:
-            runs = run_way(way, add_large(make_small(load), factor), seed)
+            runs = run_policy(way, add_large(make_small(load), factor), seed)
             first = compute_percentile(gather(runs, 'first_tokens'), 95)
             alone = first if not factor else alone
             rows.append(
@@ -195,15 +199,15 @@
     )
 
 
-def compare_loads(ways: tuple[Way, ...], seed: int) -> None:
+def compare_loads(ways: tuple[PolicyVariant, ...], seed: int) -> None:
     """Print the goodput of ten equal workspaces below and above capacity."""
     rows = []
     for way in ways:
-        found = [_run_equal(way, load, seed) for load in LOADS]
+        found = [_run_equal_workspaces(way, load, seed) for load in LOADS]
         slot_time = [goodput.slot_time for goodput in found]
         tokens = [goodput.tokens for goodput in found]
-        rows.append((way.name, 'slot time', *_format_kept(slot_time)))
-        rows.append((way.name, 'tokens', *_format_kept(tokens)))
+        rows.append((way.name, 'slot time', *_format_by_load(slot_time)))
+        rows.append((way.name, 'tokens', *_format_by_load(tokens)))
     columns = ('way', 'in time', *(f'{load}' for load in LOADS), '2.0 to 1.0')
     print_table('Goodput as a part of capacity, by load', columns, rows)
 
@@ -213,7 +217,7 @@
     rows = []
     for way in HEAD_STARTS:
         sources = [*make_small(0.35, 0), *make_small(0.35, 1)]
-        runs = run_way(way, add_large(sources, 100), seed)
+        runs = run_policy(way, add_large(sources, 100), seed)
         better = gather(runs, 'waits', priority=0)
         worse = gather(runs, 'waits', priority=1)
         rows.append(
@@ -240,12 +244,14 @@
         part: One of ``neighbours``, ``loads``, ``reserves``, ``priorities``, or
             ``all``.
     """
-    print(f'seed {seed}, {SEEDS} seeds pooled, {SECONDS} s each, {SLOTS} slots')
+    print(
+        f'seed {seed}, {SEED_COUNT} seeds pooled, {RUN_SECONDS} s each, {SLOTS} slots'
+    )
     if part in {'neighbours', 'all'}:
         for load in SMALL_LOADS:
-            compare_neighbours(WAYS, load, seed)
+            compare_neighbours(POLICIES, load, seed)
     if part in {'loads', 'all'}:
-        compare_loads(WAYS, seed)
+        compare_loads(POLICIES, seed)
     if part in {'reserves', 'all'}:
         compare_neighbours(RESERVES, SMALL_LOADS[0], seed)
         compare_loads(RESERVES, seed)
@@ -253,13 +259,15 @@
         compare_priorities(seed)
 
 
-def _run_equal(way: Way, load: float, seed: int) -> Goodput:
+def _run_equal_workspaces(way: PolicyVariant, load: float, seed: int) -> Goodput:
     rate = load * CAPACITY / (SMALL_WORKSPACES + 1)
     names = [f'equal-{number}' for number in range(SMALL_WORKSPACES + 1)]
-    return measure_goodput(run_way(way, [Source(name, rate) for name in names], seed))
+    return measure_goodput(
+        run_policy(way, [Source(name, rate) for name in names], seed)
+    )
 
 
-def _format_kept(by_load: list[float]) -> list[str]:
+def _format_by_load(by_load: list[float]) -> list[str]:
     kept = by_load[LOADS.index(2.0)] / by_load[LOADS.index(1.0)]
     return [f'{part:.3f}' for part in (*by_load, kept)]
 
--- a/packages/bench/src/ibisport_bench/experiments/fleet_model.py
+++ b/packages/bench/src/ibisport_bench/experiments/fleet_model.py
@@ -18,20 +18,20 @@
 OUTPUT_TOKENS_PER_SECOND = 50
 PREFIX_TOKENS = 1500
 QUESTION_TOKENS = 200
-LEAST_OUTPUT = 16
-MOST_OUTPUT = 256
-MEAN_OUTPUT = (LEAST_OUTPUT + MOST_OUTPUT) / 2
+MIN_OUTPUT_TOKENS = 16
+MAX_OUTPUT_TOKENS = 256
+MEAN_OUTPUT_TOKENS = (MIN_OUTPUT_TOKENS + MAX_OUTPUT_TOKENS) / 2
 # Of one target when no prefix is in its cache; requests a second.
-TARGET_CAPACITY = SLOTS / (
+TARGET_REQUESTS_PER_SECOND = SLOTS / (
     (PREFIX_TOKENS + QUESTION_TOKENS) / PREFILL_TOKENS_PER_SECOND
-    + MEAN_OUTPUT / OUTPUT_TOKENS_PER_SECOND
+    + MEAN_OUTPUT_TOKENS / OUTPUT_TOKENS_PER_SECOND
 )
 HOP_SECONDS = 0.0005
-REPORT_SECONDS = 0.5
-REPORT_DELAY = 0.05
-CACHED_PREFIXES = 10
-EVENT_DELAYS = (0.1, 2.0)
-EVENT_LOSS = 0.2
+REPORT_INTERVAL_SECONDS = 0.5
+REPORT_DELAY_SECONDS = 0.05
+MAX_CACHED_PREFIXES = 10
+EVENT_DELAY_SECONDS = (0.1, 2.0)
+EVENT_LOSS_PROBABILITY = 0.2
 DEADLINE_SECONDS = 600
 
 MakeChooser = Callable[[str, random.Random, Callable[[], float]], Chooser]
@@ -62,11 +62,11 @@
     @property
     def rate(self) -> float:
         """Requests a second over all routers."""
-        return self.load * TARGET_CAPACITY * self.targets
+        return self.load * TARGET_REQUESTS_PER_SECOND * self.targets
 
 
 @dataclass
-class Seen:
+class FleetFigures:
     """What a run showed."""
 
     first_tokens: list[float] = field(default_factory=list)
@@ -80,7 +80,7 @@
 
     number: int
     prefix: bytes | None
-    output: int
+    output_tokens: int
     arrived_at: float
 
 
@@ -102,7 +102,7 @@
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
         gone = []
-        while len(self._cache) > CACHED_PREFIXES:
+        while len(self._cache) > MAX_CACHED_PREFIXES:
             gone.append(self._cache.popitem(last=False)[0])
         return hit, gone
 
@@ -135,12 +135,12 @@
 
     def choose(self, prompt: Prompt, now: float) -> str:
         """Choose a target and remember the request there."""
-        seen = [self._correct(report) for report in self.reports.values()]
+        seen = [self._count_unreported(report) for report in self.reports.values()]
         target = self.chooser.rank(seen, prompt.prefix, now)[0]
         self.in_flight[target][prompt.number] = now
         return target
 
-    def _correct(self, report: Candidate) -> Candidate:
+    def _count_unreported(self, report: Candidate) -> Candidate:
         sent = self.in_flight[report.target].values()
         fresh = sum(at > report.measured_at for at in sent)
         if not fresh:
@@ -158,7 +158,7 @@
     """
 
     def __init__(self, fleet: Fleet, make_chooser: MakeChooser, seed: int) -> None:
-        self.seen = Seen()
+        self.figures = FleetFigures()
         self._fleet = fleet
         self._timeline = Timeline()
         self._arrivals = random.Random(f'{seed} arrivals')
@@ -174,10 +174,10 @@
             reports = {one.name: one.report(0) for one in self._targets.values()}
             self._routers.append(Router(chooser, reports))
 
-    def run(self) -> Seen:
+    def run(self) -> FleetFigures:
         """Run to the last answer and return what was seen."""
         for place, target in enumerate(self._targets.values()):
-            first = REPORT_SECONDS * place / len(self._targets)
+            first = REPORT_INTERVAL_SECONDS * place / len(self._targets)
             self._timeline.schedule(first, partial(self._report, target))
         weights = [1 / rank for rank in range(1, self._fleet.prefixes + 1)]
         at = 0.0
@@ -187,22 +187,22 @@
                 break
             rank = self._arrivals.choices(range(self._fleet.prefixes), weights)[0]
             prefix = f'prefix {rank}'.encode() if self._fleet.share_prefix else None
-            output = self._arrivals.randint(LEAST_OUTPUT, MOST_OUTPUT)
+            output = self._arrivals.randint(MIN_OUTPUT_TOKENS, MAX_OUTPUT_TOKENS)
             prompt = Prompt(number, prefix, output, at)
             router = self._arrivals.choice(self._routers)
             self._timeline.schedule(at, partial(self._route, router, prompt))
         self._timeline.run()
-        return self.seen
+        return self.figures
 
     def _report(self, target: Target) -> None:
         now = self._timeline.now
         report = target.report(now)
         for router in self._routers:
             learn = partial(router.reports.__setitem__, target.name, report)
-            self._timeline.schedule(now + REPORT_DELAY, learn)
+            self._timeline.schedule(now + REPORT_DELAY_SECONDS, learn)
         if now < self._fleet.seconds:
             again = partial(self._report, target)
-            self._timeline.schedule(now + REPORT_SECONDS, again)
+            self._timeline.schedule(now + REPORT_INTERVAL_SECONDS, again)
 
     def _route(self, router: Router, prompt: Prompt) -> None:
         target = self._targets[router.choose(prompt, self._timeline.now)]
@@ -212,7 +212,7 @@
             class_name='any',
             priority=0,
             weight=1,
-            cost=PREFIX_TOKENS + QUESTION_TOKENS + MOST_OUTPUT,
+            cost=PREFIX_TOKENS + QUESTION_TOKENS + MAX_OUTPUT_TOKENS,
             deadline=prompt.arrived_at + DEADLINE_SECONDS,
         )
         target.prompts[ticket.request_id] = prompt
@@ -239,22 +239,24 @@
         self._publish(target.name, gone, False)
         tokens = QUESTION_TOKENS + (0 if hit else PREFIX_TOKENS)
         prefill = tokens / PREFILL_TOKENS_PER_SECOND
-        seconds = prefill + prompt.output / OUTPUT_TOKENS_PER_SECOND
+        seconds = prefill + prompt.output_tokens / OUTPUT_TOKENS_PER_SECOND
         if prompt.arrived_at >= self._fleet.warm_up:
             first = now + prefill + HOP_SECONDS - prompt.arrived_at
-            self.seen.first_tokens.append(first)
-            self.seen.hits += hit
-            self.seen.started += 1
-        finish = partial(self._finish, target, ticket, tokens + prompt.output, seconds)
+            self.figures.first_tokens.append(first)
+            self.figures.hits += hit
+            self.figures.started += 1
+        finish = partial(
+            self._finish, target, ticket, tokens + prompt.output_tokens, seconds
+        )
         self._timeline.schedule(now + seconds, finish)
 
     def _publish(self, target: str, prefixes: list[bytes], held: bool) -> None:
         for router in self._routers:
-            if not prefixes or self._events.random() < EVENT_LOSS:
+            if not prefixes or self._events.random() < EVENT_LOSS_PROBABILITY:
                 continue
             if isinstance(router.chooser, TargetChooser):
                 note = partial(router.chooser.note_cache, target, prefixes, held)
-                delay = self._events.uniform(*EVENT_DELAYS)
+                delay = self._events.uniform(*EVENT_DELAY_SECONDS)
                 self._timeline.schedule(self._timeline.now + delay, note)
 
     def _finish(
--- a/packages/bench/src/ibisport_bench/experiments/placing.py
+++ b/packages/bench/src/ibisport_bench/experiments/placing.py
@@ -15,12 +15,12 @@
 from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry
 
-PIECE_TOKENS = 2_048
+PREFILL_CHUNK_TOKENS = 2_048
 ENGINES = 8
 ROUTERS = 5
-SECONDS = 60
-LONG_PER_SECOND = 5.4
-SHORT_PER_SECOND = 13.7
+RUN_SECONDS = 60
+LONG_PROMPTS_PER_SECOND = 5.4
+SHORT_PROMPTS_PER_SECOND = 13.7
 
 Chooser = Callable[
     [Sequence[Candidate], Sequence[PromptPart], float, EngineSplit | None],
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class EngineProfile:
     """What a kind of engine does, and what its callers accept.
 
     Attributes:
@@ -44,12 +44,12 @@
     tokens_per_ms: float
     ms_per_million_pairs: float
     tokens_per_event: int
-    longest_pause_ms: float
+    max_pause_ms: float
 
 
 # The users' sheets give these.
-SLOW_READERS = Figures(6.35, 42.8, 0.97, 4, 300.0)
-FAST_READERS = Figures(3.79, 56.6, 0.124, 5, 400.0)
+SLOW_READERS = EngineProfile(6.35, 42.8, 0.97, 4, 300.0)
+FAST_READERS = EngineProfile(3.79, 56.6, 0.124, 5, 400.0)
 
 
 @dataclass(slots=True)
@@ -67,24 +67,24 @@
     """
 
     health: TargetHealth
-    unread: int
-    context: int
-    tokens: int
+    unread_tokens: int
+    context_tokens: int
+    remaining_tokens: int
     long: bool
     mix: PromptMix
-    prompt: int
-    longest_pause: float = 0.0
-    _last_event: float = -1.0
+    prompt_tokens: int
+    max_pause_ms: float = 0.0
+    _last_event_at: float = -1.0
 
-    def note_token(self, now: float, figures: Figures) -> None:
+    def generate_token(self, now: float, figures: EngineProfile) -> None:
         """Generate one token."""
-        self.tokens -= 1
+        self.remaining_tokens -= 1
         self.health.last_received_at = now / 1_000
-        if self.tokens % figures.tokens_per_event:
+        if self.remaining_tokens % figures.tokens_per_event:
             return
-        if self._last_event >= 0:
-            self.longest_pause = max(self.longest_pause, now - self._last_event)
-        self._last_event = now
+        if self._last_event_at >= 0:
+            self.max_pause_ms = max(self.max_pause_ms, now - self._last_event_at)
+        self._last_event_at = now
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
     """One engine: prompts that wait to be read, and answers that run."""
 
     entry: TargetEntry
-    figures: Figures
+    figures: EngineProfile
     cached: set[str] = field(default_factory=set)
     waiting: list[Answer] = field(default_factory=list)
     running: list[Answer] = field(default_factory=list)
@@ -107,33 +107,35 @@
             self._step(ended)
 
     def _step(self, ended: list[Answer]) -> None:
-        self.now += self.figures.step_ms + self._read()
+        self.now += self.figures.step_ms + self._prefill()
         for answer in tuple(self.running):
-            answer.note_token(self.now, self.figures)
-            if not answer.tokens:
-                self._end(answer, ended)
+            answer.generate_token(self.now, self.figures)
+            if not answer.remaining_tokens:
+                self._finish_answer(answer, ended)
 
-    def _end(self, answer: Answer, ended: list[Answer]) -> None:
+    def _finish_answer(self, answer: Answer, ended: list[Answer]) -> None:
         self.running.remove(answer)
         answer.health.end_request()
-        pause = answer.longest_pause / 1_000
-        accepted = self.figures.longest_pause_ms / 1_000
-        answer.mix.record_answer(answer.prompt, pause, accepted, self.now / 1_000)
+        pause = answer.max_pause_ms / 1_000
+        accepted = self.figures.max_pause_ms / 1_000
+        answer.mix.record_answer(
+            answer.prompt_tokens, pause, accepted, self.now / 1_000
+        )
         ended.append(answer)
 
-    def _read(self) -> float:
+    def _prefill(self) -> float:
         """Read a piece of the first prompt; return how long it takes."""
         if not self.waiting:
             return 0.0
         first = self.waiting[0]
-        piece = min(PIECE_TOKENS, first.unread)
-        first.unread -= piece
+        piece = min(PREFILL_CHUNK_TOKENS, first.unread_tokens)
+        first.unread_tokens -= piece
         first.health.pending_prompt_tokens -= piece
-        first.context += piece
-        if not first.unread:
+        first.context_tokens += piece
+        if not first.unread_tokens:
             self.waiting.pop(0)
             self.running.append(first)
-        pairs = piece * first.context / 1e6
+        pairs = piece * first.context_tokens / 1e6
         attention = self.figures.ms_per_million_pairs * pairs
         return piece / self.figures.tokens_per_ms + attention
 
@@ -153,8 +155,8 @@
     apart: int
 
 
-class _Play:
-    def __init__(self, choose: Chooser, seed: int, figures: Figures) -> None:
+class _Simulation:
+    def __init__(self, choose: Chooser, seed: int, figures: EngineProfile) -> None:
         self._choose = choose
         self._figures = figures
         self._mixes = [PromptMix() for _ in range(ROUTERS)]
@@ -169,19 +171,26 @@
     def run(self) -> Outcome:
         """Send requests for a while; return what their callers saw."""
         now = 0.0
-        while now < SECONDS * 1_000:
-            now += self._rng.expovariate(LONG_PER_SECOND + SHORT_PER_SECOND) * 1_000
+        while now < RUN_SECONDS * 1_000:
+            now += (
+                self._rng.expovariate(
+                    LONG_PROMPTS_PER_SECOND + SHORT_PROMPTS_PER_SECOND
+                )
+                * 1_000
+            )
             for engine in self._engines:
                 engine.run_until(now, self._ended)
             self._send(now)
         apart = sum(mix.split is not None for mix in self._mixes)
-        return Outcome(self._share_paused(True), self._share_paused(False), apart)
+        return Outcome(
+            self._measure_paused_share(True), self._measure_paused_share(False), apart
+        )
 
     def _send(self, now: float) -> None:
-        long = self._rng.random() < LONG_PER_SECOND / (
-            LONG_PER_SECOND + SHORT_PER_SECOND
+        long = self._rng.random() < LONG_PROMPTS_PER_SECOND / (
+            LONG_PROMPTS_PER_SECOND + SHORT_PROMPTS_PER_SECOND
         )
-        parts = self._draw_long() if long else self._draw_short()
+        parts = self._draw_long_prompt() if long else self._draw_short_prompt()
         router = self._rng.randrange(ROUTERS)
         view, mix = self._views[router], self._mixes[router]
         chosen = self._choose(view, parts, now / 1_000, mix.split)
@@ -213,25 +222,25 @@
         answer = Answer(health, unread, cached, tokens, long, mix, prompt)
         engine.waiting.append(answer)
 
-    def _draw_long(self) -> tuple[PromptPart, ...]:
+    def _draw_long_prompt(self) -> tuple[PromptPart, ...]:
         thing = self._rng.randrange(118)
         sizes = random.Random(thing)
         shared = min(17_000, int(sizes.lognormvariate(8.5, 0.7)))
         own = min(39_600, int(self._rng.lognormvariate(7.5, 1.0)))
         return PromptPart(f'long-{thing}', shared), PromptPart('own', own)
 
-    def _draw_short(self) -> tuple[PromptPart, ...]:
+    def _draw_short_prompt(self) -> tuple[PromptPart, ...]:
         thing = self._rng.randrange(199)
         own = min(1_500, int(self._rng.lognormvariate(6.0, 1.0)))
         return PromptPart(f'short-{thing}', 198), PromptPart('own', own)
 
-    def _share_paused(self, long: bool) -> float:
-        seen = [one.longest_pause for one in self._ended if one.long is long]
-        accepted = self._figures.longest_pause_ms
+    def _measure_paused_share(self, long: bool) -> float:
+        seen = [one.max_pause_ms for one in self._ended if one.long is long]
+        accepted = self._figures.max_pause_ms
         return sum(pause > accepted for pause in seen) / max(1, len(seen))
 
 
-def play(choose: Chooser, seed: int, figures: Figures = SLOW_READERS) -> Outcome:
+def play(choose: Chooser, seed: int, figures: EngineProfile = SLOW_READERS) -> Outcome:
     """Return what callers saw of a minute of mixed prompts.
 
     Args:
@@ -239,7 +248,7 @@
         seed: Seed of arrivals and sizes.
         figures: What the engines do.
     """
-    return _Play(choose, seed, figures).run()
+    return _Simulation(choose, seed, figures).run()
 
 
 def choose_least_running(
@@ -276,7 +285,7 @@
                 )
 
 
-def _build_engine(number: int, figures: Figures) -> Engine:
+def _build_engine(number: int, figures: EngineProfile) -> Engine:
     address = ('10.0.0.1', number)
     domain = f'd-{number % 4}'
     entry = TargetEntry(f'i-{number}', 'svc', address, domain, 64, False, 1)
--- a/packages/bench/src/ibisport_bench/experiments/target_model.py
+++ b/packages/bench/src/ibisport_bench/experiments/target_model.py
@@ -17,17 +17,17 @@
 SLOTS = 16
 PROMPT_TOKENS_PER_SECOND = 2000
 OUTPUT_TOKENS_PER_SECOND = 50
-MEAN_PROMPT = 300
-RESERVED_OUTPUT = 256
-LEAST_OUTPUT = 16
-MEAN_OUTPUT = (RESERVED_OUTPUT + LEAST_OUTPUT) / 2
-MEAN_TOKENS = MEAN_PROMPT + MEAN_OUTPUT
+MEAN_PROMPT_TOKENS = 300
+RESERVED_OUTPUT_TOKENS = 256
+MIN_OUTPUT_TOKENS = 16
+MEAN_OUTPUT_TOKENS = (RESERVED_OUTPUT_TOKENS + MIN_OUTPUT_TOKENS) / 2
+MEAN_TOKENS = MEAN_PROMPT_TOKENS + MEAN_OUTPUT_TOKENS
 DEADLINE_SECONDS = 20
-MEAN_HOLD = MEAN_PROMPT / PROMPT_TOKENS_PER_SECOND + (
-    MEAN_OUTPUT / OUTPUT_TOKENS_PER_SECOND
+MEAN_HOLD_SECONDS = MEAN_PROMPT_TOKENS / PROMPT_TOKENS_PER_SECOND + (
+    MEAN_OUTPUT_TOKENS / OUTPUT_TOKENS_PER_SECOND
 )
 # Requests a second with all slots taken.
-CAPACITY = SLOTS / MEAN_HOLD
+CAPACITY = SLOTS / MEAN_HOLD_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,22 +53,22 @@
 
     ticket: Ticket
     arrived_at: float
-    prompt: int
-    output: int
+    prompt_tokens: int
+    output_tokens: int
 
     @property
     def prefill_seconds(self) -> float:
         """Time from the slot to the first token."""
-        return self.prompt / PROMPT_TOKENS_PER_SECOND
+        return self.prompt_tokens / PROMPT_TOKENS_PER_SECOND
 
     @property
     def hold_seconds(self) -> float:
         """Time for which the slot is held."""
-        return self.prefill_seconds + self.output / OUTPUT_TOKENS_PER_SECOND
+        return self.prefill_seconds + self.output_tokens / OUTPUT_TOKENS_PER_SECOND
 
 
 @dataclass
-class Observed:
+class TargetFigures:
     """What a run showed, by (workspace, priority)."""
 
     waits: dict[tuple[str, int], list[float]] = field(
@@ -97,7 +97,7 @@
     def __init__(
         self, policy: QueuePolicy, seed: int, seconds: float, warm_up: float
     ) -> None:
-        self.observed = Observed()
+        self.figures = TargetFigures()
         self._policy = policy
         self._seed = seed
         self._seconds = seconds
@@ -105,13 +105,13 @@
         self._timeline = Timeline()
         self._requests: dict[bytes, Request] = {}
 
-    def run(self, sources: list[Source]) -> Observed:
+    def run(self, sources: list[Source]) -> TargetFigures:
         """Run all sources to their end and return what was seen."""
         for number, source in enumerate(sources):
             stream = random.Random(f'{self._seed} {source.workspace} {source.priority}')
             self._plan_arrivals(source, number, stream)
         self._timeline.run()
-        return self.observed
+        return self.figures
 
     def _plan_arrivals(
         self, source: Source, number: int, stream: random.Random
@@ -128,11 +128,11 @@
     def _arrive(self, request: Request) -> None:
         ticket = request.ticket
         now = self._timeline.now
-        self._count(request, self.observed.sent, 1)
+        self._count(request, self.figures.sent, 1)
         try:
             dropped = self._policy.enter(ticket, now)
         except Refusal:
-            self._count(request, self.observed.refused, 1)
+            self._count(request, self.figures.refused, 1)
             return
         self._requests[ticket.request_id] = request
         for evicted in dropped:
@@ -142,7 +142,7 @@
 
     def _expire(self, request: Request) -> None:
         if self._policy.withdraw(request.ticket.request_id):
-            self._count(request, self.observed.refused, 1)
+            self._count(request, self.figures.refused, 1)
 
     def _take_turns(self) -> None:
         now = self._timeline.now
@@ -157,7 +157,7 @@
 
     def _drop(self, dropped: Dropped) -> None:
         request = self._requests[dropped.ticket.request_id]
-        self._count(request, self.observed.refused, 1)
+        self._count(request, self.figures.refused, 1)
 
     def _start(self, request: Request) -> None:
         now = self._timeline.now
@@ -168,16 +168,16 @@
             return
         key = (request.ticket.workspace, request.ticket.priority)
         wait = now - request.arrived_at
-        self.observed.waits[key].append(wait)
-        self.observed.first_tokens[key].append(wait + request.prefill_seconds)
+        self.figures.waits[key].append(wait)
+        self.figures.first_tokens[key].append(wait + request.prefill_seconds)
 
     def _finish(self, request: Request) -> None:
-        used = request.prompt + request.output
+        used = request.prompt_tokens + request.output_tokens
         now = self._timeline.now
         self._policy.leave(request.ticket, used, request.hold_seconds, now)
         if self._warm_up <= request.arrived_at and now <= request.ticket.deadline:
-            self.observed.tokens_in_time += used
-            self.observed.seconds_in_time += request.hold_seconds
+            self.figures.tokens_in_time += used
+            self.figures.seconds_in_time += request.hold_seconds
         self._take_turns()
 
     def _count(self, request: Request, counter: Counter[str], amount: int) -> None:
@@ -188,8 +188,8 @@
 def _draw_request(
     source: Source, name: bytes, at: float, stream: random.Random
 ) -> Request:
-    prompt = int(stream.uniform(0.2, 1.8) * MEAN_PROMPT * source.size)
-    reserved = int(RESERVED_OUTPUT * source.size)
+    prompt = int(stream.uniform(0.2, 1.8) * MEAN_PROMPT_TOKENS * source.size)
+    reserved = int(RESERVED_OUTPUT_TOKENS * source.size)
     ticket = Ticket(
         request_id=name,
         workspace=source.workspace,
@@ -199,4 +199,4 @@
         cost=prompt + reserved,
         deadline=at + DEADLINE_SECONDS,
     )
-    return Request(ticket, at, prompt, stream.randint(LEAST_OUTPUT, reserved))
+    return Request(ticket, at, prompt, stream.randint(MIN_OUTPUT_TOKENS, reserved))
--- a/packages/bench/src/ibisport_bench/load/__main__.py
+++ b/packages/bench/src/ibisport_bench/load/__main__.py
@@ -15,7 +15,7 @@
 from ibisport_bench.load.runner import run_load
 from ibisport_bench.site import Site, SitePlan, WorkspacePlan
 
-_WRONG_CONFIG = 2
+_INVALID_CONFIG_EXIT_CODE = 2
 
 
 def make_plan(config: LoadConfig) -> SitePlan:
@@ -47,7 +47,7 @@
         checked = load_config(config)
     except LoadConfigInvalid as error:
         sys.stderr.write(f'{error.code}: {error}\n')
-        sys.exit(_WRONG_CONFIG)
+        sys.exit(_INVALID_CONFIG_EXIT_CODE)
     recorder = _run_checked(checked)
     folder = Path(out)
     found = {
--- a/packages/bench/src/ibisport_bench/load/wholeness.py
+++ b/packages/bench/src/ibisport_bench/load/answer_check.py
@@ -6,10 +6,10 @@
 
 import orjson
 
-_DATA = b'data: '
-_DONE = b'[DONE]'
+_DATA_PREFIX = b'data: '
+_DONE_MARKER = b'[DONE]'
 _EVENT_END = b'\n\n'
-_DIGITS = 8
+_DIGEST_CHARS = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         place: Index of the first wrong word.
     """
 
-    place: int
+    index: int
 
 
 Verdict = Whole | Truncated | Crossed
@@ -51,8 +51,8 @@
         prompt: The prompt.
         tokens: Tokens of the whole answer.
     """
-    words, done = _read_stream(body) if streamed else _read_document(body)
-    digest = hashlib.sha256(prompt.encode()).hexdigest()[:_DIGITS]
+    words, done = _parse_stream(body) if streamed else _parse_document(body)
+    digest = hashlib.sha256(prompt.encode()).hexdigest()[:_DIGEST_CHARS]
     for place, word in enumerate(words):
         if place >= tokens or word != f'{digest}-{place}':
             return Crossed(place)
@@ -61,24 +61,24 @@
     return Whole()
 
 
-def _read_stream(body: bytes) -> tuple[list[str], bool]:
+def _parse_stream(body: bytes) -> tuple[list[str], bool]:
     texts = []
     done = False
     for event in body.split(_EVENT_END)[:-1]:
-        content = event.removeprefix(_DATA)
-        if content == _DONE:
+        content = event.removeprefix(_DATA_PREFIX)
+        if content == _DONE_MARKER:
             done = True
             continue
-        texts.append(_read_delta(orjson.loads(content)))
+        texts.append(_parse_delta(orjson.loads(content)))
     return ''.join(texts).split(), done
 
 
-def _read_delta(document: dict[str, Any]) -> str:
+def _parse_delta(document: dict[str, Any]) -> str:
     choices = document.get('choices') or [{}]
     return str(choices[0].get('delta', {}).get('content', ''))
 
 
-def _read_document(body: bytes) -> tuple[list[str], bool]:
+def _parse_document(body: bytes) -> tuple[list[str], bool]:
     try:
         message = orjson.loads(body)['choices'][0]['message']
     except (ValueError, KeyError, IndexError):
--- a/packages/bench/src/ibisport_bench/load/caller.py
+++ b/packages/bench/src/ibisport_bench/load/caller.py
@@ -12,27 +12,27 @@
 import urllib3
 
 from ibisport_bench.load import recording
+from ibisport_bench.load.answer_check import check_answer
 from ibisport_bench.load.arrivals import Arrival
 from ibisport_bench.load.config import LoadConfig
 from ibisport_bench.load.recording import Recorder
-from ibisport_bench.load.wholeness import check_answer
 
-_READ_BYTES = 65_536
-_MILLIS = 1000
-_OK = 200
-_RETRY_STATUSES = frozenset((429, 502, 503))
+_MAX_READ_BYTES = 65_536
+_MS_PER_SECOND = 1000
+_OK_STATUS = 200
+_RETRYABLE_STATUSES = frozenset((429, 502, 503))
 _SERVICE_PATH = '/portal/order'
 _CHAT_PATH = '/v1/chat/completions'
 
 
 @dataclass(slots=True)
-class _Reading:
+class _ReceivedBody:
     first_at: float = 0
     last_at: float = 0
     gaps: list[float] = field(default_factory=list)
-    pieces: list[bytes] = field(default_factory=list)
+    chunks: list[bytes] = field(default_factory=list)
 
-    def take(self, piece: bytes) -> None:
+    def add(self, piece: bytes) -> None:
         """Take a piece of the answer that has just come."""
         now = time.monotonic()
         if self.first_at:
@@ -40,7 +40,7 @@
         else:
             self.first_at = now
         self.last_at = now
-        self.pieces.append(piece)
+        self.chunks.append(piece)
 
 
 class Caller:
@@ -72,7 +72,7 @@
             arrival.workspace, recording.LATE, time.monotonic() - due
         )
         for turn in range(self._config.most_tries):
-            pause = self._try(arrival, due, turn)
+            pause = self._attempt(arrival, due, turn)
             if pause is None:
                 return
             if time.monotonic() + pause - due > self._config.patience:
@@ -84,23 +84,23 @@
         """Close the connections."""
         self._http.clear()
 
-    def _try(self, arrival: Arrival, due: float, turn: int) -> float | None:
+    def _attempt(self, arrival: Arrival, due: float, turn: int) -> float | None:
         """Send once; return seconds until the next try, or None at the end."""
-        reading = _Reading()
+        reading = _ReceivedBody()
         try:
             response = self._send(arrival, turn)
-            if response.status == _OK:
-                self._read(response, reading)
+            if response.status == _OK_STATUS:
+                self._read_body(response, reading)
         except (urllib3.exceptions.HTTPError, OSError):
             self._recorder.count('refused.connection_broken')
             return float(turn + 1)
-        if response.status != _OK:
-            return self._note_refusal(response)
-        self._note_answer(arrival, due, reading)
+        if response.status != _OK_STATUS:
+            return self._record_refusal(response)
+        self._record_answer(arrival, due, reading)
         return None
 
     def _send(self, arrival: Arrival, turn: int) -> urllib3.BaseHTTPResponse:
-        self._delay()
+        self._sleep_caller_delay()
         router = self._routers[(arrival.router + turn) % len(self._routers)]
         path = _SERVICE_PATH if arrival.service else _CHAT_PATH
         return self._http.request(
@@ -116,15 +116,19 @@
             timeout=self._config.patience,
         )
 
-    def _read(self, response: urllib3.BaseHTTPResponse, reading: _Reading) -> None:
+    def _read_body(
+        self, response: urllib3.BaseHTTPResponse, reading: _ReceivedBody
+    ) -> None:
         try:
-            while piece := response.read1(_READ_BYTES):
-                reading.take(piece)
+            while piece := response.read1(_MAX_READ_BYTES):
+                reading.add(piece)
         finally:
             response.release_conn()
 
-    def _note_answer(self, arrival: Arrival, due: float, reading: _Reading) -> None:
-        back = self._config.caller_delay_ms / _MILLIS
+    def _record_answer(
+        self, arrival: Arrival, due: float, reading: _ReceivedBody
+    ) -> None:
+        back = self._config.caller_delay_ms / _MS_PER_SECOND
         workspace = arrival.workspace
         self._recorder.count('answered')
         total = reading.last_at + back - due
@@ -135,23 +139,23 @@
             first = reading.first_at + back - due
             self._recorder.observe(workspace, recording.FIRST, first)
             self._recorder.observe(workspace, recording.GAP, *reading.gaps)
-        self._recorder.count('chunks', len(reading.pieces))
+        self._recorder.count('chunks', len(reading.chunks))
         verdict = check_answer(
-            b''.join(reading.pieces), arrival.streamed, arrival.prompt, arrival.tokens
+            b''.join(reading.chunks), arrival.streamed, arrival.prompt, arrival.tokens
         )
         self._recorder.count(f'verdict.{type(verdict).__name__.lower()}')
 
-    def _note_refusal(self, response: urllib3.BaseHTTPResponse) -> float | None:
-        code = _read_code(response.data)
+    def _record_refusal(self, response: urllib3.BaseHTTPResponse) -> float | None:
+        code = _parse_error_code(response.data)
         self._recorder.count(f'refused.{response.status}.{code}')
-        if response.status not in _RETRY_STATUSES:
+        if response.status not in _RETRYABLE_STATUSES:
             self._recorder.count('refused_for_good')
             return None
         return float(response.headers.get('Retry-After', '1'))
 
-    def _delay(self) -> None:
+    def _sleep_caller_delay(self) -> None:
         if self._config.caller_delay_ms:
-            time.sleep(self._config.caller_delay_ms / _MILLIS)
+            time.sleep(self._config.caller_delay_ms / _MS_PER_SECOND)
 
 
 def _make_body(arrival: Arrival) -> bytes:
@@ -167,7 +171,7 @@
     )
 
 
-def _read_code(body: bytes) -> str:
+def _parse_error_code(body: bytes) -> str:
     try:
         return str(orjson.loads(body)['error']['code'])
     except (ValueError, KeyError, TypeError):
--- a/packages/bench/src/ibisport_bench/load/config.py
+++ b/packages/bench/src/ibisport_bench/load/config.py
@@ -18,11 +18,11 @@
     code = 'load_config_invalid'
 
 
-class _Checked(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class Lengths(_Checked):
+class Lengths(_StrictModel):
     """Lognormal lengths, cut at a bound.
 
     Attributes:
@@ -36,7 +36,7 @@
     most: Annotated[int, Field(gt=0)] = 1000
 
 
-class SiteSize(_Checked):
+class SiteSize(_StrictModel):
     """The site that is started when no router is named.
 
     Attributes:
@@ -58,7 +58,7 @@
     streams: Annotated[int, Field(gt=0)] = 256
 
 
-class LoadConfig(_Checked):
+class LoadConfig(_StrictModel):
     """One load run.
 
     Attributes:
--- a/packages/bench/src/ibisport_bench/load/recording.py
+++ b/packages/bench/src/ibisport_bench/load/recording.py
@@ -6,11 +6,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_MICROS = 1
-_HIGHEST_MICROS = 3_600_000_000
-_DIGITS = 3
-_MICROS = 1_000_000
-_MILLIS = 1000
+_MIN_MICROSECONDS = 1
+_MAX_MICROSECONDS = 3_600_000_000
+_SIGNIFICANT_DIGITS = 3
+_MICROSECONDS_PER_SECOND = 1_000_000
+_MICROSECONDS_PER_MS = 1000
 PERCENTS = (50, 95, 99)
 ALL = 'all'
 FIRST = 'first_token_ms'
@@ -36,7 +36,7 @@
             for name in (workspace, ALL):
                 histogram = self._histograms[name, kind]
                 for one in seconds:
-                    histogram.record_value(max(1, int(one * _MICROS)))
+                    histogram.record_value(max(1, int(one * _MICROSECONDS_PER_SECOND)))
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a count."""
@@ -53,15 +53,15 @@
             names = sorted({name for name, _ in self._histograms})
             return {
                 'counts': dict(sorted(self._counts.items())),
-                'workspaces': {name: self._describe_one(name) for name in names},
+                'workspaces': {name: self._describe_workspace(name) for name in names},
             }
 
-    def list_curve(self, kind: str) -> list[tuple[float, float]]:
+    def list_percentiles(self, kind: str) -> list[tuple[float, float]]:
         """Return (percentile, milliseconds) of a kind over all workspaces."""
         histogram = self._histograms[ALL, kind]
         points = (*range(0, 100, 2), 99, 99.5, 99.9, 100)
         return [
-            (point, histogram.get_value_at_percentile(point) / _MILLIS)
+            (point, histogram.get_value_at_percentile(point) / _MICROSECONDS_PER_MS)
             for point in points
         ]
 
@@ -74,7 +74,7 @@
                 if owner == ALL
             }
 
-    def _describe_one(self, name: str) -> dict[str, Any]:
+    def _describe_workspace(self, name: str) -> dict[str, Any]:
         return {
             kind: summarise(histogram)
             for (owner, kind), histogram in sorted(self._histograms.items())
@@ -84,13 +84,15 @@
 
 def make_histogram() -> HdrHistogram:
     """Return a histogram of microseconds up to an hour, to three digits."""
-    return HdrHistogram(_LOWEST_MICROS, _HIGHEST_MICROS, _DIGITS)
+    return HdrHistogram(_MIN_MICROSECONDS, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS)
 
 
 def summarise(histogram: HdrHistogram) -> dict[str, float]:
     """Return a histogram's count and percentiles, in milliseconds."""
     found = {
-        f'p{percent}': round(histogram.get_value_at_percentile(percent) / _MILLIS, 3)
+        f'p{percent}': round(
+            histogram.get_value_at_percentile(percent) / _MICROSECONDS_PER_MS, 3
+        )
         for percent in PERCENTS
     }
     return {'count': histogram.get_total_count(), **found}
--- a/packages/bench/src/ibisport_bench/load/report.py
+++ b/packages/bench/src/ibisport_bench/load/report.py
@@ -15,7 +15,7 @@
 
 from matplotlib import pyplot as plt
 
-_GIT_SECONDS = 5
+_GIT_TIMEOUT_SECONDS = 5
 
 
 def describe_machine() -> dict[str, Any]:
@@ -35,7 +35,7 @@
         asked,
         capture_output=True,
         text=True,
-        timeout=_GIT_SECONDS,
+        timeout=_GIT_TIMEOUT_SECONDS,
         check=False,
         cwd=Path(__file__).parent,
     )
@@ -64,7 +64,7 @@
     """Plot milliseconds against percentile for the main times of a run."""
     figure, axes = plt.subplots()
     for kind in (FIRST, GAP, TOTAL):
-        points = recorder.list_curve(kind)
+        points = recorder.list_percentiles(kind)
         axes.plot(
             [point for point, _ in points], [level for _, level in points], label=kind
         )
--- a/packages/bench/src/ibisport_bench/load/runner.py
+++ b/packages/bench/src/ibisport_bench/load/runner.py
@@ -10,8 +10,8 @@
 from ibisport_bench.load.config import LoadConfig
 from ibisport_bench.load.recording import Recorder
 
-_PROGRESS_SECONDS = 5.0
-_MARGIN_SECONDS = 5.0
+_PROGRESS_INTERVAL_SECONDS = 5.0
+_JOIN_MARGIN_SECONDS = 5.0
 
 
 def run_load(config: LoadConfig, routers: Sequence[str]) -> Recorder:
@@ -27,8 +27,8 @@
     recorder = Recorder()
     caller = Caller(config, routers, recorder)
     arrivals = draw_arrivals(config, len(routers))
-    threads = _send_all(arrivals, caller, recorder)
-    deadline = time.monotonic() + config.patience * 2 + _MARGIN_SECONDS
+    threads = _send_arrivals(arrivals, caller, recorder)
+    deadline = time.monotonic() + config.patience * 2 + _JOIN_MARGIN_SECONDS
     for thread in threads:
         thread.join(max(0, deadline - time.monotonic()))
     unfinished = sum(thread.is_alive() for thread in threads)
@@ -38,7 +38,7 @@
     return recorder
 
 
-def _send_all(
+def _send_arrivals(
     arrivals: Sequence[Arrival], caller: Caller, recorder: Recorder
 ) -> list[threading.Thread]:
     threads = []
@@ -50,12 +50,12 @@
         thread = threading.Thread(target=caller.run, args=(arrival, due), daemon=True)
         thread.start()
         threads.append(thread)
-        if time.monotonic() - shown > _PROGRESS_SECONDS:
+        if time.monotonic() - shown > _PROGRESS_INTERVAL_SECONDS:
             shown = time.monotonic()
-            _show_progress(arrival, len(arrivals), recorder)
+            _print_progress(arrival, len(arrivals), recorder)
     return threads
 
 
-def _show_progress(arrival: Arrival, count: int, recorder: Recorder) -> None:
+def _print_progress(arrival: Arrival, count: int, recorder: Recorder) -> None:
     answered = recorder.read_count('answered')
     sys.stderr.write(f'{arrival.number + 1}/{count} sent, {answered} answered\n')
