--- a/features/steps/load.py
+++ b/features/steps/load.py
@@ -1,4 +1,4 @@
-"""Shared fixture: callers that ask a site without a pause, in threads."""
+"""Shared fixture: threads that send requests to a site in a closed loop."""
 
 import itertools
 import threading
@@ -14,15 +14,16 @@
 
 @dataclass(slots=True)
 class Load:
-    """Callers of one site; they try again only where it did not run.
+    """Callers of one site; they retry only requests that did not run.
 
     Attributes:
-        site: The site they ask; they take its live routers in turn, as a
-            balancer does.
-        words: Words that each answer should have.
-        served: How many answers were whole and their caller's own.
-        failures: What went wrong, as text.
-        leaving: Routers that the balancer has taken out, since they said so.
+        site: The site; requests go to its running routers in turn, as from a
+            load balancer.
+        words: Expected number of words of each answer.
+        served: Number of answers that were complete and correct.
+        failures: Descriptions of the failures.
+        leaving: Ids of the routers that get no more requests since they refused a
+            request with ``router_stopping``.
     """
 
     site: Any
@@ -35,18 +36,18 @@
     _threads: list[threading.Thread] = field(default_factory=list)
 
     def start(self, callers: int) -> None:
-        """Start callers; half of them stream."""
+        """Start callers; half of them ask for streams."""
         for number in range(callers):
             caller = threading.Thread(target=self._work, args=(number,), daemon=True)
             self._threads.append(caller)
             caller.start()
 
     def stop(self) -> None:
-        """Let every caller finish its last request."""
+        """Stop the callers and wait until each has finished its last request."""
         self._stopped.set()
         for caller in self._threads:
             caller.join(60)
-            assert not caller.is_alive(), 'a caller hangs'
+            assert not caller.is_alive(), 'a caller did not finish within 60 seconds'
 
     def _work(self, caller: int) -> None:
         while not self._stopped.is_set():
@@ -59,9 +60,9 @@
 
     def _ask_until_served(self, prompt: str, number: int, stream: bool) -> None:
         body = make_body(prompt, stream)
-        for turn in range(MAX_TRIES):
+        for attempt in range(MAX_TRIES):
             routers = self._list_routers()
-            router = routers[(number + turn) % len(routers)]
+            router = routers[(number + attempt) % len(routers)]
             answer = ask(router, 'small', body)
             if answer.status == 200:
                 self._check(answer, prompt)
@@ -72,7 +73,7 @@
                 self.failures.append(f'{prompt}: {answer}')
                 return
             time.sleep(BACKOFF_SECONDS)
-        self.failures.append(f'{prompt}: not served in {MAX_TRIES} tries')
+        self.failures.append(f'{prompt}: not served in {MAX_TRIES} attempts')
 
     def _check(self, answer: Answer, prompt: str) -> None:
         if read_words(answer) == expect_words(prompt, self.words):
@@ -81,8 +82,10 @@
             self.failures.append(f'{prompt}: {answer.body!r}')
 
     def _list_routers(self) -> list[Any]:
-        routers = [one for one in self.site.routers if id(one) not in self.leaving]
-        return [one for one in routers if one.is_running()]
+        routers = [
+            router for router in self.site.routers if id(router) not in self.leaving
+        ]
+        return [router for router in routers if router.is_running()]
 
 
 def _is_leaving(answer: Answer) -> bool:
--- a/packages/bench/src/ibisport_bench/load/__init__.py
+++ b/packages/bench/src/ibisport_bench/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load tool: open-loop callers of a site, and the figures of what they met."""
+"""Load tool: open-loop callers of a site, with their latencies and counts."""
--- a/packages/bench/src/ibisport_bench/load/__main__.py
+++ b/packages/bench/src/ibisport_bench/load/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a load: ``python -m ibisport_bench.load --config FILE [--out FOLDER]``."""
+"""Runs a load test: ``python -m ibisport_bench.load --config FILE [--out FOLDER]``."""
 
 import sys
 import tempfile
@@ -19,7 +19,7 @@
 
 
 def make_plan(config: LoadConfig) -> SitePlan:
-    """Return the site that a run's configuration asks for."""
+    """Return the plan of the site that the configuration describes."""
     size = config.site
     return SitePlan(
         engines=size.engines,
@@ -37,28 +37,31 @@
 
 
 def run(config: str, out: str = 'bench-results') -> None:
-    """Run a load and print its figures.
+    """Run a load, write its result and plot, and print a summary.
 
     Args:
-        config: The configuration file.
+        config: Path of the configuration file.
         out: Folder for the result and the plot.
     """
     try:
-        checked = load_config(config)
+        parsed = load_config(config)
     except LoadConfigInvalid as error:
         sys.stderr.write(f'{error.code}: {error}\n')
         sys.exit(_INVALID_CONFIG_EXIT_CODE)
-    recorder = _run_checked(checked)
+    recorder = _run_checked(parsed)
     folder = Path(out)
-    found = {
-        'config': checked.model_dump(),
+    figures = {
+        'config': parsed.model_dump(),
         **recorder.describe(),
         'encoded': recorder.encode_all(),
     }
-    write_result(folder / f'{checked.name}.json', checked.seed, found)
-    plot_latency(folder / f'{checked.name}.png', recorder, checked.name)
-    shown = {'counts': found['counts'], 'all': found['workspaces'].get('all')}
-    sys.stdout.write(orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode() + '\n')
+    write_result(folder / f'{parsed.name}.json', parsed.seed, figures)
+    plot_latency(folder / f'{parsed.name}.png', recorder, parsed.name)
+    summary = {
+        'counts': figures['counts'],
+        'all': figures['workspaces'].get('all'),
+    }
+    sys.stdout.write(orjson.dumps(summary, option=orjson.OPT_INDENT_2).decode() + '\n')
 
 
 def _run_checked(config: LoadConfig) -> Recorder:
--- a/packages/bench/src/ibisport_bench/load/answer_check.py
+++ b/packages/bench/src/ibisport_bench/load/answer_check.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is whole, and the answer to its own request."""
+"""Checks that an answer is complete and belongs to its request."""
 
 import hashlib
 from dataclasses import dataclass
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """The answer is the one that was expected."""
+    """The answer is complete and correct."""
 
 
 @dataclass(frozen=True, slots=True)
 class Truncated:
-    """The answer ends too early.
+    """The answer ends early.
 
     Attributes:
-        words: Words that came.
+        words: Number of words received.
     """
 
     words: int
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Crossed:
-    """The answer has words that belong to another request, or not here.
+    """The answer has a word of another request, or at a wrong position.
 
     Attributes:
-        place: Index of the first wrong word.
+        index: Index of the first wrong word.
     """
 
     index: int
@@ -43,19 +43,19 @@
 
 
 def check_answer(body: bytes, streamed: bool, prompt: str, tokens: int) -> Verdict:
-    """Compare an answer with what the stand-in engine answers the prompt with.
+    """Compare an answer with the one that the stand-in engine gives to the prompt.
 
     Args:
-        body: The whole body as it came.
-        streamed: Whether it is a stream of server-sent events.
-        prompt: The prompt.
-        tokens: Tokens of the whole answer.
+        body: Complete body as received.
+        streamed: Whether the body is a stream of server-sent events.
+        prompt: Prompt of the request.
+        tokens: Tokens of the complete answer.
     """
     words, done = _parse_stream(body) if streamed else _parse_document(body)
     digest = hashlib.sha256(prompt.encode()).hexdigest()[:_DIGEST_CHARS]
-    for place, word in enumerate(words):
-        if place >= tokens or word != f'{digest}-{place}':
-            return Crossed(place)
+    for index, word in enumerate(words):
+        if index >= tokens or word != f'{digest}-{index}':
+            return Crossed(index)
     if len(words) < tokens or not done:
         return Truncated(len(words))
     return Whole()
@@ -65,11 +65,11 @@
     texts = []
     done = False
     for event in body.split(_EVENT_END)[:-1]:
-        content = event.removeprefix(_DATA_PREFIX)
-        if content == _DONE_MARKER:
+        payload = event.removeprefix(_DATA_PREFIX)
+        if payload == _DONE_MARKER:
             done = True
             continue
-        texts.append(_parse_delta(orjson.loads(content)))
+        texts.append(_parse_delta(orjson.loads(payload)))
     return ''.join(texts).split(), done
 
 
--- a/packages/bench/src/ibisport_bench/load/arrivals.py
+++ b/packages/bench/src/ibisport_bench/load/arrivals.py
@@ -1,4 +1,4 @@
-"""What callers will ask and when, drawn from one seed before the run."""
+"""Draws the requests of a run and their times from one seed, before the run."""
 
 from dataclasses import dataclass
 
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request as it is meant to come.
+    """One planned request.
 
     Attributes:
-        number: Its number in the run.
-        at: Seconds after the start at which it should be sent.
-        workspace: Who asks.
-        prompt: The prompt; it names the answer's length.
-        tokens: Tokens of the whole answer.
+        number: Position in the run, from 0.
+        at: Seconds after the start of the run at which it is due.
+        workspace: Workspace of the caller.
+        prompt: Prompt text; it states the length of the answer.
+        tokens: Tokens of the complete answer.
         streamed: Whether the answer is streamed.
-        service: Whether the plain service is called.
-        router: Index of the router that is asked first.
+        service: Whether the plain service is called instead of a model.
+        router: Index of the router that the first attempt is sent to.
     """
 
     number: int
@@ -33,49 +33,51 @@
 
 
 def name_workspace(number: int) -> str:
-    """Return the name of a workspace; number 0 is the largest."""
+    """Return the name of a workspace; number 0 has the largest share."""
     return f'workspace-{number}'
 
 
 def compute_shares(config: LoadConfig) -> np.ndarray:
-    """Return the share of all requests of each workspace; shape (workspaces,)."""
+    """Return each workspace's share of the requests; shape (workspaces,)."""
     ranks = np.arange(1, config.workspaces + 1)
-    sizes = ranks**-config.skew
-    return sizes / sizes.sum()
+    weights = ranks**-config.skew
+    return weights / weights.sum()
 
 
 def draw_arrivals(config: LoadConfig, routers: int) -> list[Arrival]:
-    """Draw the requests of a run: Poisson arrivals, in order of time.
+    """Draw Poisson arrivals, in order of time.
 
     Args:
-        config: The run.
-        routers: How many routers there are to ask.
+        config: Configuration of the run.
+        routers: Number of routers.
     """
     generator = np.random.default_rng(config.seed)
     count = int(generator.poisson(config.rate * config.seconds))
     times = np.sort(generator.uniform(0, config.seconds, count))
-    owners = generator.choice(config.workspaces, count, p=compute_shares(config))
-    words = _draw_lengths(generator, config.prompts, count)
+    workspace_numbers = generator.choice(
+        config.workspaces, count, p=compute_shares(config)
+    )
+    prompt_words = _draw_lengths(generator, config.prompts, count)
     tokens = _draw_lengths(generator, config.answers, count)
     prefixes = generator.integers(config.prefixes, size=count)
-    chances = generator.uniform(size=(count, 2))
-    chosen = generator.integers(routers, size=count)
+    uniforms = generator.uniform(size=(count, 2))
+    router_indexes = generator.integers(routers, size=count)
     return [
         Arrival(
             number=number,
             at=float(times[number]),
-            workspace=name_workspace(int(owners[number])),
+            workspace=name_workspace(int(workspace_numbers[number])),
             prompt=_make_prompt(
                 config,
                 number,
-                f'w{owners[number]}p{prefixes[number]}',
-                int(words[number]),
+                f'w{workspace_numbers[number]}p{prefixes[number]}',
+                int(prompt_words[number]),
                 int(tokens[number]),
             ),
             tokens=int(tokens[number]),
-            streamed=bool(chances[number, 0] < config.streamed),
-            service=bool(chances[number, 1] < config.service_share),
-            router=int(chosen[number]),
+            streamed=bool(uniforms[number, 0] < config.streamed),
+            service=bool(uniforms[number, 1] < config.service_share),
+            router=int(router_indexes[number]),
         )
         for number in range(count)
     ]
@@ -93,5 +95,5 @@
 ) -> str:
     shared = [f'{prefix}-{index}' for index in range(config.prefix_words)]
     own = [f'own{number}-{index}' for index in range(words)]
-    named = f'seed{config.seed} answer_tokens={tokens}'
-    return ' '.join((*shared, *own, named))
+    directives = f'seed{config.seed} answer_tokens={tokens}'
+    return ' '.join((*shared, *own, directives))
--- a/packages/bench/src/ibisport_bench/load/caller.py
+++ b/packages/bench/src/ibisport_bench/load/caller.py
@@ -1,7 +1,7 @@
-"""One caller's request: sent, retried as it is told, timed and checked.
+"""Sends one request, retries it as the refusals say, times and checks its answer.
 
-All times count from when the request was meant to be sent, so a wait in the
-load tool or in a stalled server is never left out.
+All times count from the moment at which the request was due, so that delays in the load
+tool or in a stalled server are included (no coordinated omission).
 """
 
 import time
@@ -32,76 +32,76 @@
     gaps: list[float] = field(default_factory=list)
     chunks: list[bytes] = field(default_factory=list)
 
-    def add(self, piece: bytes) -> None:
-        """Take a piece of the answer that has just come."""
+    def add(self, chunk: bytes) -> None:
+        """Record a chunk of the answer that has just arrived."""
         now = time.monotonic()
         if self.first_at:
             self.gaps.append(now - self.last_at)
         else:
             self.first_at = now
         self.last_at = now
-        self.chunks.append(piece)
+        self.chunks.append(chunk)
 
 
 class Caller:
-    """Sends requests to routers; one caller serves all threads."""
+    """Sends requests to routers; shared by all threads of a run."""
 
     def __init__(
         self, config: LoadConfig, routers: Sequence[str], recorder: Recorder
     ) -> None:
-        """Set the connections up.
+        """Create the connection pool.
 
         Args:
-            config: The run.
+            config: Configuration of the run.
             routers: Addresses of routers, ``host:port``.
-            recorder: Where times and counts go.
+            recorder: Receives times and counts.
         """
         self._config = config
         self._routers = routers
         self._recorder = recorder
         self._http = urllib3.PoolManager(maxsize=512, retries=False)
 
-    def run(self, arrival: Arrival, due: float) -> None:
-        """Carry a request through to its answer or its last refusal.
+    def run(self, arrival: Arrival, due_at: float) -> None:
+        """Send a request; retry until it is answered, refused for good or given up.
 
         Args:
             arrival: The request.
-            due: Monotonic time at which it should have been sent.
+            due_at: Monotonic time at which it is due.
         """
         self._recorder.observe(
-            arrival.workspace, recording.LATE, time.monotonic() - due
+            arrival.workspace, recording.LATE, time.monotonic() - due_at
         )
-        for turn in range(self._config.most_tries):
-            pause = self._attempt(arrival, due, turn)
-            if pause is None:
+        for attempt in range(self._config.most_tries):
+            delay = self._attempt(arrival, due_at, attempt)
+            if delay is None:
                 return
-            if time.monotonic() + pause - due > self._config.patience:
+            if time.monotonic() + delay - due_at > self._config.patience:
                 break
-            time.sleep(pause)
+            time.sleep(delay)
         self._recorder.count('given_up')
 
     def close(self) -> None:
         """Close the connections."""
         self._http.clear()
 
-    def _attempt(self, arrival: Arrival, due: float, turn: int) -> float | None:
-        """Send once; return seconds until the next try, or None at the end."""
-        reading = _ReceivedBody()
+    def _attempt(self, arrival: Arrival, due_at: float, attempt: int) -> float | None:
+        """Send once; return seconds until the next attempt, None if there is none."""
+        received = _ReceivedBody()
         try:
-            response = self._send(arrival, turn)
+            response = self._send(arrival, attempt)
             if response.status == _OK_STATUS:
-                self._read_body(response, reading)
+                self._read_body(response, received)
         except (urllib3.exceptions.HTTPError, OSError):
             self._recorder.count('refused.connection_broken')
-            return float(turn + 1)
+            return float(attempt + 1)
         if response.status != _OK_STATUS:
             return self._record_refusal(response)
-        self._record_answer(arrival, due, reading)
+        self._record_answer(arrival, due_at, received)
         return None
 
-    def _send(self, arrival: Arrival, turn: int) -> urllib3.BaseHTTPResponse:
+    def _send(self, arrival: Arrival, attempt: int) -> urllib3.BaseHTTPResponse:
         self._sleep_caller_delay()
-        router = self._routers[(arrival.router + turn) % len(self._routers)]
+        router = self._routers[(arrival.router + attempt) % len(self._routers)]
         path = _SERVICE_PATH if arrival.service else _CHAT_PATH
         return self._http.request(
             'POST',
@@ -117,31 +117,31 @@
         )
 
     def _read_body(
-        self, response: urllib3.BaseHTTPResponse, reading: _ReceivedBody
+        self, response: urllib3.BaseHTTPResponse, received: _ReceivedBody
     ) -> None:
         try:
-            while piece := response.read1(_MAX_READ_BYTES):
-                reading.add(piece)
+            while chunk := response.read1(_MAX_READ_BYTES):
+                received.add(chunk)
         finally:
             response.release_conn()
 
     def _record_answer(
-        self, arrival: Arrival, due: float, reading: _ReceivedBody
+        self, arrival: Arrival, due_at: float, received: _ReceivedBody
     ) -> None:
-        back = self._config.caller_delay_ms / _MS_PER_SECOND
+        return_delay = self._config.caller_delay_ms / _MS_PER_SECOND
         workspace = arrival.workspace
         self._recorder.count('answered')
-        total = reading.last_at + back - due
+        total = received.last_at + return_delay - due_at
         self._recorder.observe(workspace, recording.TOTAL, total)
         if arrival.service:
             return
         if arrival.streamed:
-            first = reading.first_at + back - due
+            first = received.first_at + return_delay - due_at
             self._recorder.observe(workspace, recording.FIRST, first)
-            self._recorder.observe(workspace, recording.GAP, *reading.gaps)
-        self._recorder.count('chunks', len(reading.chunks))
+            self._recorder.observe(workspace, recording.GAP, *received.gaps)
+        self._recorder.count('chunks', len(received.chunks))
         verdict = check_answer(
-            b''.join(reading.chunks), arrival.streamed, arrival.prompt, arrival.tokens
+            b''.join(received.chunks), arrival.streamed, arrival.prompt, arrival.tokens
         )
         self._recorder.count(f'verdict.{type(verdict).__name__.lower()}')
 
--- a/packages/bench/src/ibisport_bench/load/config.py
+++ b/packages/bench/src/ibisport_bench/load/config.py
@@ -1,4 +1,4 @@
-"""Checked configuration of a load run."""
+"""Configuration of a load run, and its validation."""
 
 from pathlib import Path
 from typing import Annotated
@@ -13,7 +13,7 @@
 
 
 class LoadConfigInvalid(IbisportError):
-    """The load's configuration is wrong: correct the field that is named."""
+    """The configuration is unreadable or invalid; the message says why."""
 
     code = 'load_config_invalid'
 
@@ -23,7 +23,7 @@
 
 
 class Lengths(_StrictModel):
-    """Lognormal lengths, cut at a bound.
+    """Lognormal distribution of lengths, clipped at an upper bound.
 
     Attributes:
         median: Median, in words of a prompt or tokens of an answer.
@@ -37,16 +37,16 @@
 
 
 class SiteSize(_StrictModel):
-    """The site that is started when no router is named.
+    """The site that is started when the configuration names no router.
 
     Attributes:
-        engines: Count of model engines.
-        services: Count of instances of the plain service.
-        routers: Count of routers.
-        domains: Failure domains.
-        slots: Slots of each engine.
-        token_ms: Milliseconds a token at an engine.
-        streams: Most open requests of a router.
+        engines: Number of model engines.
+        services: Number of instances of the plain service.
+        routers: Number of routers.
+        domains: Names of the failure domains.
+        slots: Requests that an engine runs at once.
+        token_ms: Milliseconds that an engine takes for a token.
+        streams: Maximum number of open requests of a router.
     """
 
     engines: Annotated[int, Field(gt=0)] = 6
@@ -59,27 +59,28 @@
 
 
 class LoadConfig(_StrictModel):
-    """One load run.
+    """Configuration of one load run.
 
     Attributes:
-        name: Name of the run, for its files.
-        seed: Seed of all random choices.
-        seconds: How long requests arrive.
-        rate: Requests a second of all workspaces together.
-        workspaces: Count of workspaces.
-        skew: Exponent of the Zipf shares of the workspaces; 0 for equal ones.
-        budget_tokens: What each workspace's budget is topped up with.
-        prompts: Words of a prompt.
+        name: Name of the run, used in file names.
+        seed: Seed of all random draws.
+        seconds: Duration of the arrivals.
+        rate: Requests per second, over all workspaces.
+        workspaces: Number of workspaces.
+        skew: Zipf exponent of the shares of the workspaces; 0 for equal shares.
+        budget_tokens: Tokens of the top-up of each workspace's budget.
+        prompts: Words of a prompt, without its shared prefix.
         answers: Tokens of an answer.
-        prefixes: Count of shared prefixes of each workspace.
-        prefix_words: Words of a shared prefix.
-        streamed: Share of answers that are streamed.
-        service_share: Share of calls that go to the plain service.
-        caller_delay_ms: Added to each way between callers and routers.
-        most_tries: Most tries of a caller that is told when to retry.
-        patience: Seconds after which a caller gives up.
-        routers: Addresses of running routers; none to start a site.
-        site: The site to start.
+        prefixes: Number of shared prompt prefixes per workspace.
+        prefix_words: Words of a shared prompt prefix.
+        streamed: Share of the model requests that ask for a stream.
+        service_share: Share of the requests that call the plain service.
+        caller_delay_ms: Simulated one-way delay between callers and routers.
+        most_tries: Maximum number of attempts of a request.
+        patience: Seconds after the due time at which a caller stops retrying;
+            also the timeout of each attempt.
+        routers: Addresses of running routers; empty to start a site.
+        site: The site to start if there are no routers.
     """
 
     name: Annotated[str, Field(pattern='^[a-z0-9-]+$')]
@@ -103,24 +104,25 @@
 
 
 def load_config(path: str | Path) -> LoadConfig:
-    """Read and check a configuration file.
+    """Read and validate a configuration file.
 
     Args:
-        path: A JSON file.
+        path: Path of a JSON file.
 
     Returns:
         The configuration.
 
     Raises:
-        LoadConfigInvalid: Naming each wrong field.
+        LoadConfigInvalid: The file is unreadable or invalid; the message names
+            each wrong field.
     """
     try:
         return LoadConfig.model_validate_json(Path(path).read_bytes())
     except ValidationError as error:
-        faults = [
-            '{}: {}'.format('.'.join(map(str, one['loc'])), one['msg'])
-            for one in error.errors()
+        messages = [
+            '{}: {}'.format('.'.join(map(str, fault['loc'])), fault['msg'])
+            for fault in error.errors()
         ]
-        raise LoadConfigInvalid('; '.join(faults)) from error
+        raise LoadConfigInvalid('; '.join(messages)) from error
     except OSError as error:
         raise LoadConfigInvalid(str(error)) from error
--- a/packages/bench/src/ibisport_bench/load/patience.py
+++ b/packages/bench/src/ibisport_bench/load/patience.py
@@ -1,16 +1,16 @@
-"""Starts sites on machines that are busy with other work."""
+"""Starts sites with a longer timeout, for machines with other load."""
 
 from ibisport_bench.site import Site, SiteNotReady
 
 
 def start_patiently(site: Site) -> None:
-    """Start a site, and wait twice as long as usual until it is ready.
+    """Start a site and wait up to twice the usual time until it is ready.
 
     Args:
-        site: The site; its processes run afterwards.
+        site: The site to start.
 
     Raises:
-        SiteNotReady: It was not ready even then.
+        SiteNotReady: The site was not ready within that time.
     """
     try:
         site.start()
--- a/packages/bench/src/ibisport_bench/load/recording.py
+++ b/packages/bench/src/ibisport_bench/load/recording.py
@@ -1,4 +1,4 @@
-"""Latency histograms and counts of a load run, by workspace."""
+"""Latency histograms by workspace, and the counts, of a load run."""
 
 import threading
 from collections import Counter, defaultdict
@@ -20,10 +20,10 @@
 
 
 class Recorder:
-    """Collects what callers met; safe to use from many threads."""
+    """Collects latencies and counts of all callers; thread-safe."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a recorder without samples."""
         self._lock = threading.Lock()
         self._histograms: dict[tuple[str, str], HdrHistogram] = defaultdict(
             make_histogram
@@ -31,15 +31,17 @@
         self._counts: Counter[str] = Counter()
 
     def observe(self, workspace: str, kind: str, *seconds: float) -> None:
-        """Add times of one kind to a workspace's and to the whole's histogram."""
+        """Add durations to the histograms of a workspace and of all workspaces."""
         with self._lock:
             for name in (workspace, ALL):
                 histogram = self._histograms[name, kind]
-                for one in seconds:
-                    histogram.record_value(max(1, int(one * _MICROSECONDS_PER_SECOND)))
+                for duration in seconds:
+                    histogram.record_value(
+                        max(1, int(duration * _MICROSECONDS_PER_SECOND))
+                    )
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a count."""
+        """Increase a count."""
         with self._lock:
             self._counts[name] += amount
 
@@ -48,7 +50,7 @@
         return self._counts[name]
 
     def describe(self) -> dict[str, Any]:
-        """Return counts and percentiles, in milliseconds, by workspace."""
+        """Return the counts, and percentiles in milliseconds by workspace."""
         with self._lock:
             names = sorted({name for name, _ in self._histograms})
             return {
@@ -57,42 +59,42 @@
             }
 
     def list_percentiles(self, kind: str) -> list[tuple[float, float]]:
-        """Return (percentile, milliseconds) of a kind over all workspaces."""
+        """Return (percentile, milliseconds) pairs of a kind over all workspaces."""
         histogram = self._histograms[ALL, kind]
-        points = (*range(0, 100, 2), 99, 99.5, 99.9, 100)
+        percents = (*range(0, 100, 2), 99, 99.5, 99.9, 100)
         return [
-            (point, histogram.get_value_at_percentile(point) / _MICROSECONDS_PER_MS)
-            for point in points
+            (percent, histogram.get_value_at_percentile(percent) / _MICROSECONDS_PER_MS)
+            for percent in percents
         ]
 
     def encode_all(self) -> dict[str, str]:
-        """Return the whole's histograms encoded, so that runs can be added up."""
+        """Return the encoded histograms of all workspaces, to merge several runs."""
         with self._lock:
             return {
                 kind: histogram.encode().decode()
-                for (owner, kind), histogram in self._histograms.items()
-                if owner == ALL
+                for (workspace, kind), histogram in self._histograms.items()
+                if workspace == ALL
             }
 
     def _describe_workspace(self, name: str) -> dict[str, Any]:
         return {
             kind: summarise(histogram)
-            for (owner, kind), histogram in sorted(self._histograms.items())
-            if owner == name
+            for (workspace, kind), histogram in sorted(self._histograms.items())
+            if workspace == name
         }
 
 
 def make_histogram() -> HdrHistogram:
-    """Return a histogram of microseconds up to an hour, to three digits."""
+    """Return a histogram of microseconds, up to an hour, with three digits."""
     return HdrHistogram(_MIN_MICROSECONDS, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS)
 
 
 def summarise(histogram: HdrHistogram) -> dict[str, float]:
     """Return a histogram's count and percentiles, in milliseconds."""
-    found = {
+    percentiles = {
         f'p{percent}': round(
             histogram.get_value_at_percentile(percent) / _MICROSECONDS_PER_MS, 3
         )
         for percent in PERCENTS
     }
-    return {'count': histogram.get_total_count(), **found}
+    return {'count': histogram.get_total_count(), **percentiles}
--- a/packages/bench/src/ibisport_bench/load/report.py
+++ b/packages/bench/src/ibisport_bench/load/report.py
@@ -1,4 +1,4 @@
-"""Results of runs as JSON with seed, commit and machine, and their plots."""
+"""Writes results of runs as JSON, with seed, commit and machine, and plots them."""
 
 import os
 import platform
@@ -19,7 +19,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return processor count, load and interpreter of this machine."""
+    """Return the processor count, load, system and Python version."""
     return {
         'processors': os.cpu_count(),
         'load_1min': round(os.getloadavg()[0], 1),
@@ -29,26 +29,26 @@
 
 
 def read_commit() -> str:
-    """Return the commit of the working tree, or ``unknown``."""
-    asked = ['git', 'describe', '--always', '--dirty', '--abbrev=12']
-    answer = subprocess.run(
-        asked,
+    """Return the commit that git describes, or ``unknown``."""
+    command = ['git', 'describe', '--always', '--dirty', '--abbrev=12']
+    process = subprocess.run(
+        command,
         capture_output=True,
         text=True,
         timeout=_GIT_TIMEOUT_SECONDS,
         check=False,
         cwd=Path(__file__).parent,
     )
-    return answer.stdout.strip() or 'unknown'
+    return process.stdout.strip() or 'unknown'
 
 
 def write_result(path: Path, seed: int, found: dict[str, Any]) -> None:
-    """Write a result with seed, commit and machine.
+    """Write a result as JSON, with seed, commit and machine.
 
     Args:
-        path: The JSON file.
+        path: Path of the JSON file; missing folders are created.
         seed: Seed of the run.
-        found: The figures.
+        found: Figures of the run.
     """
     document = {
         'seed': seed,
@@ -61,12 +61,12 @@
 
 
 def plot_latency(path: Path, recorder: Recorder, title: str) -> None:
-    """Plot milliseconds against percentile for the main times of a run."""
+    """Plot milliseconds by percentile of each kind of answer time."""
     figure, axes = plt.subplots()
     for kind in (FIRST, GAP, TOTAL):
         points = recorder.list_percentiles(kind)
         axes.plot(
-            [point for point, _ in points], [level for _, level in points], label=kind
+            [percent for percent, _ in points], [ms for _, ms in points], label=kind
         )
     axes.set_yscale('log')
     axes.set_xlabel('percentile')
--- a/packages/bench/src/ibisport_bench/load/runner.py
+++ b/packages/bench/src/ibisport_bench/load/runner.py
@@ -1,4 +1,4 @@
-"""Sends the arrivals of a run at their times, a thread for each request."""
+"""Sends the requests of a run at their due times, each in its own thread."""
 
 import sys
 import threading
@@ -15,14 +15,17 @@
 
 
 def run_load(config: LoadConfig, routers: Sequence[str]) -> Recorder:
-    """Run a load against routers until all answers are in.
+    """Run a load against routers until all requests have ended.
+
+    Requests that are still open twice the patience and a margin after the last
+    one was sent are counted as ``unfinished``.
 
     Args:
-        config: The run.
+        config: Configuration of the run.
         routers: Addresses of routers, ``host:port``.
 
     Returns:
-        What the callers met.
+        Latencies and counts of the callers.
     """
     recorder = Recorder()
     caller = Caller(config, routers, recorder)
@@ -42,16 +45,18 @@
     arrivals: Sequence[Arrival], caller: Caller, recorder: Recorder
 ) -> list[threading.Thread]:
     threads = []
-    start = time.monotonic()
-    shown = start
+    started_at = time.monotonic()
+    printed_at = started_at
     for arrival in arrivals:
-        due = start + arrival.at
-        time.sleep(max(0, due - time.monotonic()))
-        thread = threading.Thread(target=caller.run, args=(arrival, due), daemon=True)
+        due_at = started_at + arrival.at
+        time.sleep(max(0, due_at - time.monotonic()))
+        thread = threading.Thread(
+            target=caller.run, args=(arrival, due_at), daemon=True
+        )
         thread.start()
         threads.append(thread)
-        if time.monotonic() - shown > _PROGRESS_INTERVAL_SECONDS:
-            shown = time.monotonic()
+        if time.monotonic() - printed_at > _PROGRESS_INTERVAL_SECONDS:
+            printed_at = time.monotonic()
             _print_progress(arrival, len(arrivals), recorder)
     return threads
 
