--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps on choosing targets and on retries."""
+"""Steps for choosing targets and for retries."""
 
 import random
 from dataclasses import replace
@@ -15,7 +15,7 @@
 from ibisport_router.internal.choice import Candidate, TargetChooser, rank_homes
 from ibisport_router.internal.retries import GiveUp, Retry, RetryBudget, RetryOptions
 
-ANYTHING = hypothesis.settings(
+HYPOTHESIS_SETTINGS = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=100
 )
 NAMES = [f'target-{number}' for number in range(6)]
@@ -61,11 +61,11 @@
 )
 
 
-@when('any targets are ranked after any results')
-def rank_any(context):
+@when('generated targets are ranked after generated results')
+def rank_generated(context):
     affinities = strategies.sampled_from([None, b'one', b'two'])
 
-    @ANYTHING
+    @HYPOTHESIS_SETTINGS
     @hypothesis.given(CANDIDATES, REPORTS, affinities, strategies.floats(0, 100))
     def check(candidates, reports, affinity, now):
         chooser = TargetChooser(NEAR, random.Random(1), float)
@@ -74,7 +74,9 @@
             chooser.note_result(target, ok, 1)
         ranked = chooser.rank(candidates, affinity, now)
         available = {
-            one.target for one in candidates if one.connected and not one.draining
+            candidate.target
+            for candidate in candidates
+            if candidate.connected and not candidate.draining
         }
         assert len(ranked) == len(set(ranked))
         assert set(ranked) <= available
@@ -83,16 +85,16 @@
     context.check = check
 
 
-@then('the ranked ones are available and each stands there once')
-@then('the homes are the same, and a target that goes moves no other home')
-@then('a retry is idempotent or provably not run, and before the deadline')
+@then('only available targets are ranked, each of them once')
+@then('the preferred targets are equal, and removing a target keeps the rest')
+@then('only idempotent or not-run requests are retried, and before the deadline')
 @then('the retries are at most the burst, the rate and the share of requests')
 def run_choice_check(context):
     context.check()
 
 
-@given('a chooser of three equal targets')
-def make_equal(context):
+@given('a chooser with three equal targets')
+def make_equal_targets(context):
     context.candidates = [make_candidate(name) for name in NAMES[:3]]
     context.time = 0
     context.chooser = TargetChooser(NEAR, random.Random(1), lambda: context.time)
@@ -106,8 +108,8 @@
     context.chooser.note_result(NAMES[0], False, 1)
 
 
-@then('it is not ranked for a second, and then for one request at a time')
-def check_set_aside(context):
+@then('it is not ranked for a second, and then for only one request at a time')
+def check_ejected(context):
     rank = partial(context.chooser.rank, context.candidates, None)
     assert sorted(rank(0.5)) == NAMES[1:3]
     context.time = 2
@@ -118,13 +120,13 @@
     assert sorted(rank(3)) == NAMES[1:3]
 
 
-@then('a success brings it back')
-def check_back(context):
+@then('it is ranked again after a success')
+def check_restored(context):
     context.chooser.note_result(NAMES[0], True, 1)
     assert NAMES[0] in context.chooser.rank(context.candidates, None, 3)
 
 
-@given('a chooser whose near targets are full and whose far ones are not')
+@given('a chooser whose near targets are full and whose far targets are not')
 def make_domains(context):
     context.chooser = TargetChooser(NEAR, random.Random(1), float)
     near = [make_candidate(name, NEAR, running=8) for name in NAMES[:3]]
@@ -134,66 +136,68 @@
     ]
 
 
-@then('a far target comes first')
+@then('a far target is ranked first')
 def check_spill(context):
     firsts = {context.chooser.rank(context.candidates, None, 0)[0] for _ in range(50)}
     assert firsts <= set(NAMES[3:])
 
 
-@then('with all of them idle a near target comes first')
+@then('with all targets idle a near target is ranked first')
 def check_near(context):
-    idle = [replace(one, running=0) for one in context.candidates]
+    idle = [replace(candidate, running=0) for candidate in context.candidates]
     firsts = {context.chooser.rank(idle, None, 0)[0] for _ in range(50)}
     assert firsts <= set(NAMES[:3])
 
 
-@then('each prefix has one target while the others are as loaded')
+@then('each prefix has one preferred target while all are equally loaded')
 def check_prefixes(context):
-    context.homes = {}
+    context.preferred = {}
     for number in range(30):
         prefix = f'prefix {number}'.encode()
         firsts = {
             context.chooser.rank(context.candidates, prefix, 0)[0] for _ in range(10)
         }
         assert len(firsts) == 1
-        context.homes[prefix] = firsts.pop()
-    assert set(context.homes.values()) == set(NAMES[:3])
+        context.preferred[prefix] = firsts.pop()
+    assert set(context.preferred.values()) == set(NAMES[:3])
 
 
-@then('a full target gives its prefixes up while another one has room')
+@then('a full target is not ranked first for its prefixes while others have capacity')
 def check_load_bound(context):
     loaded = [
-        make_candidate(one.target, running=9 if one.target == NAMES[0] else 1)
-        for one in context.candidates
+        make_candidate(
+            candidate.target, running=9 if candidate.target == NAMES[0] else 1
+        )
+        for candidate in context.candidates
     ]
-    for prefix in context.homes:
+    for prefix in context.preferred:
         assert context.chooser.rank(loaded, prefix, 0)[0] != NAMES[0]
 
 
-@when('any targets are known in any order')
-def rank_any_homes(context):
+@when('generated lists of targets are ranked in any order')
+def rank_generated_homes(context):
     targets = strategies.lists(strategies.text(max_size=5), min_size=1, unique=True)
 
-    @ANYTHING
+    @HYPOTHESIS_SETTINGS
     @hypothesis.given(targets, strategies.binary(max_size=16), strategies.randoms())
     def check(names, request_id, shuffler):
-        homes = rank_homes(names, request_id, 2)
+        preferred = rank_homes(names, request_id, 2)
         mixed = list(names)
         shuffler.shuffle(mixed)
-        assert rank_homes(mixed, request_id, 2) == homes
-        gone = mixed[0]
-        left = rank_homes(mixed[1:], request_id, 2)
-        kept = tuple(home for home in homes if home != gone)
-        assert left[: len(kept)] == kept
+        assert rank_homes(mixed, request_id, 2) == preferred
+        removed = mixed[0]
+        remaining = rank_homes(mixed[1:], request_id, 2)
+        kept = tuple(name for name in preferred if name != removed)
+        assert remaining[: len(kept)] == kept
 
     context.check = check
 
 
-@when('any failure of any request is decided on')
-def decide_any(context):
+@when('generated failures are passed to the retry budget')
+def decide_generated(context):
     times = strategies.floats(0, 10)
 
-    @ANYTHING
+    @HYPOTHESIS_SETTINGS
     @hypothesis.given(
         FAILURES, strategies.booleans(), times, strategies.integers(1, 6), times
     )
@@ -202,20 +206,20 @@
         decision = budget.decide_retry(failure, idempotent, deadline, attempt, now)
         match decision:
             case Retry(earliest):
-                unrun = failure.statement is errors.Statement.did_not_run
-                assert idempotent or unrun
+                did_not_run = failure.statement is errors.Statement.did_not_run
+                assert idempotent or did_not_run
                 assert now <= earliest < deadline
-            case GiveUp(told):
-                assert told is failure
+            case GiveUp(returned):
+                assert returned is failure
 
     context.check = check
 
 
-@when('any number of requests fail over any time')
-def fail_any(context):
+@when('generated numbers of requests fail over generated times')
+def fail_generated(context):
     gaps = strategies.lists(strategies.floats(0, 0.5), max_size=100)
 
-    @ANYTHING
+    @HYPOTHESIS_SETTINGS
     @hypothesis.given(gaps)
     def check(waits):
         options = RetryOptions()
@@ -230,38 +234,40 @@
                     errors.TargetUnavailable(), True, 1e9, 1, clock[0]
                 )
                 retries += isinstance(decision, Retry)
-        earned = options.share * len(waits) + options.per_second * clock[0]
-        assert retries <= options.burst + earned + 1e-6
+        max_refilled = options.share * len(waits) + options.per_second * clock[0]
+        assert retries <= options.burst + max_refilled + 1e-6
 
     context.check = check
 
 
 @when('six targets are loaded to {load:f} through four routers in virtual time')
-def run_ways(context, load):
-    context.seen = []
+def run_choosers(context, load):
+    context.runs = []
     for share_prefix in (True, False):
         fleet = replace(
             experiment.SMALL_FLEET, load=load, seconds=100, share_prefix=share_prefix
         )
-        context.seen.append(
+        context.runs.append(
             {
-                way.name: FleetRun(fleet, way.make, 1).run()
-                for way in experiment.CHOOSERS
+                chooser.name: FleetRun(fleet, chooser.make, 1).run()
+                for chooser in experiment.CHOOSERS
             }
         )
 
 
-@then("our p95 first token is no worse than any plain way's, with and without prefixes")
+@then(
+    "the router's p95 first token is at most each baseline's, with and without prefixes"
+)
 def check_best(context):
-    for seen in context.seen:
+    for runs in context.runs:
         p95 = {
-            name: compute_percentile(run.first_tokens, 95) for name, run in seen.items()
+            name: compute_percentile(run.first_tokens, 95) for name, run in runs.items()
         }
         assert p95['ours'] <= min(p95.values()), p95
 
 
-@then('we hit the prefix caches at least {ratio:f} times as often as any')
+@then('the router hits prefix caches at least {ratio:f} times as often as any baseline')
 def check_hits(context, ratio):
-    hits = {name: run.hits / run.started for name, run in context.seen[0].items()}
+    hits = {name: run.hits / run.started for name, run in context.runs[0].items()}
     ours = hits.pop('ours')
     assert ours >= ratio * max(hits.values()), (ours, hits)
--- a/packages/bench/src/ibisport_bench/experiments/choice.py
+++ b/packages/bench/src/ibisport_bench/experiments/choice.py
@@ -1,7 +1,7 @@
-"""Ways to choose a target, by several routers with lagging reports.
+"""Compares target choosers for several routers with delayed load reports.
 
 Run by ``python -m ibisport_bench.experiments.choice --seed 1``. All times are
-virtual, so that the figures depend on the seed only.
+virtual, so the figures depend only on the seed.
 """
 
 import random
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChooserVariant:
-    """A way to choose under its name."""
+    """A chooser and its name in the tables."""
 
     name: str
     make: MakeChooser
 
 
 def make_target_chooser(name: str, options: ChoiceOptions) -> ChooserVariant:
-    """Return our chooser with other constants."""
+    """Return the router's own chooser with the given options."""
 
     def make(domain: str, seeded: random.Random, clock: Callable[[], float]) -> Chooser:
         return TargetChooser(domain, seeded, clock, options)
@@ -65,11 +65,11 @@
 
 
 class PairChooser(TargetChooser):
-    """Ours with two random choices near and two far, as first built."""
+    """The chooser as first built: two random candidates near and two far."""
 
     def _choose_by_load(self, usable: Sequence[Candidate]) -> Candidate:
-        near = [one for one in usable if self._is_near(one)]
-        far = [one for one in usable if not self._is_near(one)]
+        near = [candidate for candidate in usable if self._is_near(candidate)]
+        far = [candidate for candidate in usable if not self._is_near(candidate)]
         drawn = [*self._draw(near), *self._draw(far)]
         return min(drawn, key=self._score)
 
@@ -106,18 +106,18 @@
 
 
 def compare_choosers(
-    ways: tuple[ChooserVariant, ...], title: str, fleet: Fleet, seed: int
+    choosers: tuple[ChooserVariant, ...], title: str, fleet: Fleet, seed: int
 ) -> None:
-    """Print times to the first token and cache hits of each way."""
+    """Print times to the first token and cache hits of each chooser."""
     rows = []
     for load in LOADS:
-        for way in ways:
+        for chooser in choosers:
             loaded = replace(fleet, load=load)
             runs = [
-                FleetRun(loaded, way.make, seed + step).run()
+                FleetRun(loaded, chooser.make, seed + step).run()
                 for step in range(SEED_COUNT)
             ]
-            rows.append((f'{load}', way.name, *_format_runs(runs)))
+            rows.append((f'{load}', chooser.name, *_format_runs(runs)))
     columns = ('load', 'way', 'p50', 'p95', 'p99', 'cache hits')
     print_table(f'{title}: seconds to the first token', columns, rows)
 
@@ -126,8 +126,9 @@
     """Run the experiment and print its tables.
 
     Args:
-        seed: First seed; each figure pools three in a row.
-        part: ``ways``, ``variants`` or ``all``.
+        seed: First seed; each figure pools three consecutive seeds.
+        part: ``ways`` for the choosers, ``variants`` for the router's own chooser
+            with other options, or ``all``.
     """
     print(f'seed {seed}, {SEED_COUNT} seeds pooled')
     if part in {'ways', 'all'}:
--- a/packages/bench/src/ibisport_bench/experiments/fairness.py
+++ b/packages/bench/src/ibisport_bench/experiments/fairness.py
@@ -1,7 +1,7 @@
-"""The queue of one target: small workspaces beside a large one, and overload.
+"""Compares queue policies of one target, with a large workspace and in overload.
 
 Run by ``python -m ibisport_bench.experiments.fairness --seed 1``. All times are
-virtual, so that the figures depend on the seed only.
+virtual, so the figures depend only on the seed.
 """
 
 from collections.abc import Callable
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyVariant:
-    """A queue policy under its name."""
+    """A queue policy and its name in the tables."""
 
     name: str
     make: Callable[[], QueuePolicy]
@@ -52,11 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodput:
-    """Parts of the capacity that were spent on answers in time.
+    """Fractions of the capacity that were spent on answers in time.
 
     Attributes:
-        slot_time: Time of the slots.
-        tokens: Tokens; more for requests of long prompts, which take less time.
+        slot_time: Fraction of the slot time.
+        tokens: Fraction of the token capacity; higher for long prompts, as a prompt
+            token takes less time than an output token.
     """
 
     slot_time: float
@@ -66,11 +67,11 @@
 def make_fair(
     name: str, reserve: Reserve | None = None, head_start: float | None = None
 ) -> PolicyVariant:
-    """Return the fair queue with other constants."""
-    usual = FairOptions()
+    """Return the fair queue with other options."""
+    defaults = FairOptions()
     options = FairOptions(
-        reserve=usual.reserve if reserve is None else reserve,
-        head_start=usual.head_start if head_start is None else head_start,
+        reserve=defaults.reserve if reserve is None else reserve,
+        head_start=defaults.head_start if head_start is None else head_start,
     )
     return PolicyVariant(name, lambda: FairPolicy(SLOTS, options))
 
@@ -99,17 +100,19 @@
 
 
 def run_policy(
-    way: PolicyVariant, sources: list[Source], seed: int
+    variant: PolicyVariant, sources: list[Source], seed: int
 ) -> list[TargetFigures]:
-    """Run one way with a few seeds."""
+    """Run a policy with consecutive seeds."""
     return [
-        TargetRun(way.make(), seed + step, RUN_SECONDS, WARM_UP_SECONDS).run(sources)
+        TargetRun(variant.make(), seed + step, RUN_SECONDS, WARM_UP_SECONDS).run(
+            sources
+        )
         for step in range(SEED_COUNT)
     ]
 
 
 def make_small(load: float, priority: int = 0) -> list[Source]:
-    """Return the small workspaces' sources, with a total load of capacity."""
+    """Return sources of the small workspaces, together at a load of capacity."""
     rate = load * CAPACITY / SMALL_WORKSPACES
     return [
         Source(f'small-{number}', rate, priority) for number in range(SMALL_WORKSPACES)
@@ -117,7 +120,7 @@
 
 
 def add_large(sources: list[Source], factor: float, priority: int = 0) -> list[Source]:
-    """Return the sources with a large one that sends so often its share."""
+    """Return the sources and a large one that sends a multiple of its share."""
     if not factor:
         return sources
     share = CAPACITY / (SMALL_WORKSPACES + 1)
@@ -127,23 +130,23 @@
 def gather(
     runs: list[TargetFigures], kind: str, priority: int | None = None
 ) -> list[float]:
-    """Return the samples of the small workspaces.
+    """Return the samples of the small workspaces of all runs.
 
     Args:
-        runs: What was seen.
+        runs: Figures of the runs.
         kind: ``waits`` or ``first_tokens``.
-        priority: Only these requests, if given.
+        priority: Priority of the samples; all if not given.
     """
     samples: list[float] = []
     for run in runs:
-        for (workspace, of), found in getattr(run, kind).items():
-            if workspace != LARGE and priority in {None, of}:
-                samples.extend(found)
+        for (workspace, sample_priority), times in getattr(run, kind).items():
+            if workspace != LARGE and priority in {None, sample_priority}:
+                samples.extend(times)
     return samples
 
 
 def measure_goodput(runs: list[TargetFigures]) -> Goodput:
-    """Return what came in time, as parts of the capacity."""
+    """Return the goodput over all runs."""
     seconds = (RUN_SECONDS - WARM_UP_SECONDS) * len(runs)
     return Goodput(
         slot_time=sum(run.seconds_in_time for run in runs) / seconds / SLOTS,
@@ -154,24 +157,26 @@
 
 
 def measure_refused(runs: list[TargetFigures], large: bool) -> float:
-    """Return the part of the requests that was refused or expired."""
+    """Return the fraction of the requests that was refused or expired."""
     names = {name for run in runs for name in run.sent if (name == LARGE) is large}
     sent = sum(run.sent[name] for run in runs for name in names)
     return sum(run.refused[name] for run in runs for name in names) / max(sent, 1)
 
 
-def compare_neighbours(ways: tuple[PolicyVariant, ...], load: float, seed: int) -> None:
-    """Print the small workspaces' waits alone and beside a large one."""
+def compare_neighbours(
+    variants: tuple[PolicyVariant, ...], load: float, seed: int
+) -> None:
+    """Print the waits of small workspaces, alone and beside a large one."""
     rows = []
-    for way in ways:
+    for variant in variants:
         alone = float('nan')
         for factor in LARGE_FACTORS:
-            runs = run_policy(way, add_large(make_small(load), factor), seed)
+            runs = run_policy(variant, add_large(make_small(load), factor), seed)
             first = compute_percentile(gather(runs, 'first_tokens'), 95)
             alone = first if not factor else alone
             rows.append(
                 (
-                    way.name,
+                    variant.name,
                     f'{factor}x',
                     *_format_waits(gather(runs, 'waits')),
                     f'{first:.3f}',
@@ -199,32 +204,32 @@
     )
 
 
-def compare_loads(ways: tuple[PolicyVariant, ...], seed: int) -> None:
+def compare_loads(variants: tuple[PolicyVariant, ...], seed: int) -> None:
     """Print the goodput of ten equal workspaces below and above capacity."""
     rows = []
-    for way in ways:
-        found = [_run_equal_workspaces(way, load, seed) for load in LOADS]
-        slot_time = [goodput.slot_time for goodput in found]
-        tokens = [goodput.tokens for goodput in found]
-        rows.append((way.name, 'slot time', *_format_by_load(slot_time)))
-        rows.append((way.name, 'tokens', *_format_by_load(tokens)))
+    for variant in variants:
+        goodputs = [_run_equal_workspaces(variant, load, seed) for load in LOADS]
+        slot_time = [goodput.slot_time for goodput in goodputs]
+        tokens = [goodput.tokens for goodput in goodputs]
+        rows.append((variant.name, 'slot time', *_format_by_load(slot_time)))
+        rows.append((variant.name, 'tokens', *_format_by_load(tokens)))
     columns = ('way', 'in time', *(f'{load}' for load in LOADS), '2.0 to 1.0')
     print_table('Goodput as a part of capacity, by load', columns, rows)
 
 
 def compare_priorities(seed: int) -> None:
-    """Print what classes cost when a large workspace floods the better one."""
+    """Print waits by class while a large workspace floods the preferred class."""
     rows = []
-    for way in HEAD_STARTS:
+    for variant in HEAD_STARTS:
         sources = [*make_small(0.35, 0), *make_small(0.35, 1)]
-        runs = run_policy(way, add_large(sources, 100), seed)
-        better = gather(runs, 'waits', priority=0)
-        worse = gather(runs, 'waits', priority=1)
+        runs = run_policy(variant, add_large(sources, 100), seed)
+        preferred = gather(runs, 'waits', priority=0)
+        other = gather(runs, 'waits', priority=1)
         rows.append(
             (
-                way.name,
-                *_format_waits(better),
-                *_format_waits(worse),
+                variant.name,
+                *_format_waits(preferred),
+                *_format_waits(other),
                 f'{measure_refused(runs, large=False):.4f}',
             )
         )
@@ -240,7 +245,7 @@
     """Run the experiment and print its tables.
 
     Args:
-        seed: First seed; each figure pools three in a row.
+        seed: First seed; each figure pools three consecutive seeds.
         part: One of ``neighbours``, ``loads``, ``reserves``, ``priorities``, or
             ``all``.
     """
@@ -259,17 +264,17 @@
         compare_priorities(seed)
 
 
-def _run_equal_workspaces(way: PolicyVariant, load: float, seed: int) -> Goodput:
+def _run_equal_workspaces(variant: PolicyVariant, load: float, seed: int) -> Goodput:
     rate = load * CAPACITY / (SMALL_WORKSPACES + 1)
     names = [f'equal-{number}' for number in range(SMALL_WORKSPACES + 1)]
     return measure_goodput(
-        run_policy(way, [Source(name, rate) for name in names], seed)
+        run_policy(variant, [Source(name, rate) for name in names], seed)
     )
 
 
 def _format_by_load(by_load: list[float]) -> list[str]:
-    kept = by_load[LOADS.index(2.0)] / by_load[LOADS.index(1.0)]
-    return [f'{part:.3f}' for part in (*by_load, kept)]
+    ratio = by_load[LOADS.index(2.0)] / by_load[LOADS.index(1.0)]
+    return [f'{figure:.3f}' for figure in (*by_load, ratio)]
 
 
 def _format_waits(waits: list[float]) -> list[str]:
--- a/packages/bench/src/ibisport_bench/experiments/fleet_model.py
+++ b/packages/bench/src/ibisport_bench/experiments/fleet_model.py
@@ -1,4 +1,4 @@
-"""A fixed model of routers and targets with lagging reports and prefix caches."""
+"""Model of routers and targets with delayed load reports and prefix caches."""
 
 import itertools
 import random
@@ -21,7 +21,7 @@
 MIN_OUTPUT_TOKENS = 16
 MAX_OUTPUT_TOKENS = 256
 MEAN_OUTPUT_TOKENS = (MIN_OUTPUT_TOKENS + MAX_OUTPUT_TOKENS) / 2
-# Of one target when no prefix is in its cache; requests a second.
+# One target, without cache hits.
 TARGET_REQUESTS_PER_SECOND = SLOTS / (
     (PREFIX_TOKENS + QUESTION_TOKENS) / PREFILL_TOKENS_PER_SECOND
     + MEAN_OUTPUT_TOKENS / OUTPUT_TOKENS_PER_SECOND
@@ -44,11 +44,11 @@
     Attributes:
         targets: Number of targets.
         routers: Number of routers.
-        prefixes: Number of prompt prefixes; their use is by Zipf's law.
-        load: Arrivals as a part of the capacity without cache hits.
-        share_prefix: Whether the prompts have a prefix at all.
-        seconds: Virtual length of the arrivals.
-        warm_up: Virtual seconds at the start that are not counted.
+        prefixes: Number of prompt prefixes; their popularity follows Zipf's law.
+        load: Arrival rate as a fraction of the capacity without cache hits.
+        share_prefix: Whether prompts have a shared prefix.
+        seconds: Virtual duration of the arrivals.
+        warm_up: Virtual seconds at the start whose requests are not counted.
     """
 
     targets: int
@@ -61,13 +61,19 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second over all routers."""
+        """Requests per second over all routers."""
         return self.load * TARGET_REQUESTS_PER_SECOND * self.targets
 
 
 @dataclass
 class FleetFigures:
-    """What a run showed."""
+    """Figures of a run, without the warm-up.
+
+    Attributes:
+        first_tokens: Seconds from arrival to first token of each request.
+        hits: Requests whose prefix was cached.
+        started: Requests that started.
+    """
 
     first_tokens: list[float] = field(default_factory=list)
     hits: int = 0
@@ -76,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """One request on its way."""
+    """One request."""
 
     number: int
     prefix: bytes | None
@@ -85,7 +91,7 @@
 
 
 class Target:
-    """Slots behind a plain queue, and a cache of prefixes used last."""
+    """Slots behind a FIFO queue, and an LRU cache of prefixes."""
 
     def __init__(self, name: str, failure_domain: str) -> None:
         self.name = name
@@ -95,19 +101,19 @@
         self._cache: OrderedDict[bytes, None] = OrderedDict()
 
     def use_prefix(self, prefix: bytes | None) -> tuple[bool, list[bytes]]:
-        """Return whether the prefix was cached, and the prefixes it pushed out."""
+        """Return whether the prefix was cached, and the prefixes it evicted."""
         if prefix is None:
             return False, []
         hit = prefix in self._cache
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
-        gone = []
+        evicted = []
         while len(self._cache) > MAX_CACHED_PREFIXES:
-            gone.append(self._cache.popitem(last=False)[0])
-        return hit, gone
+            evicted.append(self._cache.popitem(last=False)[0])
+        return hit, evicted
 
     def report(self, now: float) -> Candidate:
-        """Return the target as it is now."""
+        """Return the current state, as routers receive it in a load report."""
         load = self.policy.measure()
         return Candidate(
             target=self.name,
@@ -126,7 +132,7 @@
 
 
 class Router:
-    """One router's chooser and what it knows of the targets."""
+    """A router's chooser, its latest load reports and its requests in flight."""
 
     def __init__(self, chooser: Chooser, reports: dict[str, Candidate]) -> None:
         self.chooser = chooser
@@ -134,27 +140,29 @@
         self.in_flight: dict[str, dict[int, float]] = {name: {} for name in reports}
 
     def choose(self, prompt: Prompt, now: float) -> str:
-        """Choose a target and remember the request there."""
-        seen = [self._count_unreported(report) for report in self.reports.values()]
-        target = self.chooser.rank(seen, prompt.prefix, now)[0]
+        """Choose a target and record the request as in flight there."""
+        candidates = [
+            self._count_unreported(report) for report in self.reports.values()
+        ]
+        target = self.chooser.rank(candidates, prompt.prefix, now)[0]
         self.in_flight[target][prompt.number] = now
         return target
 
     def _count_unreported(self, report: Candidate) -> Candidate:
-        sent = self.in_flight[report.target].values()
-        fresh = sum(at > report.measured_at for at in sent)
-        if not fresh:
+        send_times = self.in_flight[report.target].values()
+        unreported = sum(at > report.measured_at for at in send_times)
+        if not unreported:
             return report
-        return replace(report, own_in_flight_since_report=fresh)
+        return replace(report, own_in_flight_since_report=unreported)
 
 
 class FleetRun:
     """One run of a fleet in virtual time.
 
     Args:
-        fleet: Sizes and load.
-        make_chooser: Makes each router's chooser.
-        seed: Seed of everything.
+        fleet: Sizes and load of the fleet.
+        make_chooser: Creates the chooser of a router.
+        seed: Seed of all random draws.
     """
 
     def __init__(self, fleet: Fleet, make_chooser: MakeChooser, seed: int) -> None:
@@ -171,13 +179,13 @@
                 random.Random(f'{seed} router {number}'),
                 self._timeline.read,
             )
-            reports = {one.name: one.report(0) for one in self._targets.values()}
+            reports = {entry.name: entry.report(0) for entry in self._targets.values()}
             self._routers.append(Router(chooser, reports))
 
     def run(self) -> FleetFigures:
-        """Run to the last answer and return what was seen."""
-        for place, target in enumerate(self._targets.values()):
-            first = REPORT_INTERVAL_SECONDS * place / len(self._targets)
+        """Run until the last answer and return the figures."""
+        for index, target in enumerate(self._targets.values()):
+            first = REPORT_INTERVAL_SECONDS * index / len(self._targets)
             self._timeline.schedule(first, partial(self._report, target))
         weights = [1 / rank for rank in range(1, self._fleet.prefixes + 1)]
         at = 0.0
@@ -198,11 +206,11 @@
         now = self._timeline.now
         report = target.report(now)
         for router in self._routers:
-            learn = partial(router.reports.__setitem__, target.name, report)
-            self._timeline.schedule(now + REPORT_DELAY_SECONDS, learn)
+            update = partial(router.reports.__setitem__, target.name, report)
+            self._timeline.schedule(now + REPORT_DELAY_SECONDS, update)
         if now < self._fleet.seconds:
-            again = partial(self._report, target)
-            self._timeline.schedule(now + REPORT_INTERVAL_SECONDS, again)
+            next_report = partial(self._report, target)
+            self._timeline.schedule(now + REPORT_INTERVAL_SECONDS, next_report)
 
     def _route(self, router: Router, prompt: Prompt) -> None:
         target = self._targets[router.choose(prompt, self._timeline.now)]
@@ -233,10 +241,10 @@
     def _start(self, target: Target, ticket: Ticket) -> None:
         now = self._timeline.now
         prompt = target.prompts.pop(ticket.request_id)
-        hit, gone = target.use_prefix(prompt.prefix)
+        hit, evicted = target.use_prefix(prompt.prefix)
         if prompt.prefix is not None:
             self._publish(target.name, [prompt.prefix], True)
-        self._publish(target.name, gone, False)
+        self._publish(target.name, evicted, False)
         tokens = QUESTION_TOKENS + (0 if hit else PREFIX_TOKENS)
         prefill = tokens / PREFILL_TOKENS_PER_SECOND
         seconds = prefill + prompt.output_tokens / OUTPUT_TOKENS_PER_SECOND
@@ -255,9 +263,9 @@
             if not prefixes or self._events.random() < EVENT_LOSS_PROBABILITY:
                 continue
             if isinstance(router.chooser, TargetChooser):
-                note = partial(router.chooser.note_cache, target, prefixes, held)
+                update = partial(router.chooser.note_cache, target, prefixes, held)
                 delay = self._events.uniform(*EVENT_DELAY_SECONDS)
-                self._timeline.schedule(self._timeline.now + delay, note)
+                self._timeline.schedule(self._timeline.now + delay, update)
 
     def _finish(
         self, target: Target, ticket: Ticket, used: int, seconds: float
--- a/packages/bench/src/ibisport_bench/experiments/placing.py
+++ b/packages/bench/src/ibisport_bench/experiments/placing.py
@@ -1,7 +1,8 @@
-"""Plays prompts of mixed length over model engines, placed by the shipped choice.
+"""Simulates placing prompts of mixed length on model engines.
 
-Time is virtual: an engine works in steps, and in each step it reads a piece of a
-prompt and generates a token for every answer that runs. All is seeded.
+The shipped choice is compared with baselines. Time is virtual: an engine works in
+steps; each step prefills a chunk of a prompt and generates a token for every running
+answer. All random draws are seeded.
 ``python -m ibisport_bench.experiments.placing`` prints the table.
 """
 
@@ -30,24 +31,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """What a kind of engine does, and what its callers accept.
+    """Speed of a kind of engine, and the pause that its callers accept.
 
     Attributes:
-        step_ms: Milliseconds of a step that only generates.
-        tokens_per_ms: Prompt tokens that are read in a millisecond.
+        step_ms: Milliseconds of a step without prefill.
+        tokens_per_ms: Prompt tokens prefilled in a millisecond, without attention.
         ms_per_million_pairs: Milliseconds of attention for a million pairs of tokens.
-        tokens_per_event: Tokens in one event of a stream.
-        longest_pause_ms: Longest pause between two events of an answer in time.
+        tokens_per_event: Tokens in an event of a stream.
+        accepted_pause_ms: Maximum pause between two events of an answer in time.
     """
 
     step_ms: float
     tokens_per_ms: float
     ms_per_million_pairs: float
     tokens_per_event: int
-    max_pause_ms: float
+    accepted_pause_ms: float
 
 
-# The users' sheets give these.
+# Values from the users' sheets.
 SLOW_READERS = EngineProfile(6.35, 42.8, 0.97, 4, 300.0)
 FAST_READERS = EngineProfile(3.79, 56.6, 0.124, 5, 400.0)
 
@@ -57,13 +58,14 @@
     """One request on its engine, times in milliseconds.
 
     Attributes:
-        health: What its router knows of the engine.
-        unread: Tokens of its prompt that are left to read.
-        context: Tokens that have been read.
-        tokens: Tokens left to generate.
-        longest_pause: Longest time between two of its events.
-        mix: What its router sees of the service.
-        prompt: Length of its prompt.
+        health: The router's view of the engine.
+        unread_tokens: Prompt tokens still to prefill.
+        context_tokens: Prompt tokens prefilled or cached.
+        remaining_tokens: Tokens still to generate.
+        long: Whether the prompt is a long one.
+        mix: The router's record of the prompts of the service.
+        prompt_tokens: Tokens of the whole prompt.
+        max_pause_ms: Maximum time between two events.
     """
 
     health: TargetHealth
@@ -76,11 +78,11 @@
     max_pause_ms: float = 0.0
     _last_event_at: float = -1.0
 
-    def generate_token(self, now: float, figures: EngineProfile) -> None:
+    def generate_token(self, now: float, profile: EngineProfile) -> None:
         """Generate one token."""
         self.remaining_tokens -= 1
         self.health.last_received_at = now / 1_000
-        if self.remaining_tokens % figures.tokens_per_event:
+        if self.remaining_tokens % profile.tokens_per_event:
             return
         if self._last_event_at >= 0:
             self.max_pause_ms = max(self.max_pause_ms, now - self._last_event_at)
@@ -89,17 +91,17 @@
 
 @dataclass(slots=True)
 class Engine:
-    """One engine: prompts that wait to be read, and answers that run."""
+    """One engine, with its prompts to prefill and its running answers."""
 
     entry: TargetEntry
-    figures: EngineProfile
+    profile: EngineProfile
     cached: set[str] = field(default_factory=set)
     waiting: list[Answer] = field(default_factory=list)
     running: list[Answer] = field(default_factory=list)
     now: float = 0.0
 
     def run_until(self, until: float, ended: list[Answer]) -> None:
-        """Take steps up to a time."""
+        """Run steps until a time."""
         while self.now < until:
             if not (self.waiting or self.running):
                 self.now = until
@@ -107,9 +109,9 @@
             self._step(ended)
 
     def _step(self, ended: list[Answer]) -> None:
-        self.now += self.figures.step_ms + self._prefill()
+        self.now += self.profile.step_ms + self._prefill()
         for answer in tuple(self.running):
-            answer.generate_token(self.now, self.figures)
+            answer.generate_token(self.now, self.profile)
             if not answer.remaining_tokens:
                 self._finish_answer(answer, ended)
 
@@ -117,37 +119,37 @@
         self.running.remove(answer)
         answer.health.end_request()
         pause = answer.max_pause_ms / 1_000
-        accepted = self.figures.max_pause_ms / 1_000
+        accepted = self.profile.accepted_pause_ms / 1_000
         answer.mix.record_answer(
             answer.prompt_tokens, pause, accepted, self.now / 1_000
         )
         ended.append(answer)
 
     def _prefill(self) -> float:
-        """Read a piece of the first prompt; return how long it takes."""
+        """Prefill a chunk of the first prompt; return its duration in milliseconds."""
         if not self.waiting:
             return 0.0
         first = self.waiting[0]
-        piece = min(PREFILL_CHUNK_TOKENS, first.unread_tokens)
-        first.unread_tokens -= piece
-        first.health.pending_prompt_tokens -= piece
-        first.context_tokens += piece
+        chunk = min(PREFILL_CHUNK_TOKENS, first.unread_tokens)
+        first.unread_tokens -= chunk
+        first.health.pending_prompt_tokens -= chunk
+        first.context_tokens += chunk
         if not first.unread_tokens:
             self.waiting.pop(0)
             self.running.append(first)
-        pairs = piece * first.context_tokens / 1e6
-        attention = self.figures.ms_per_million_pairs * pairs
-        return piece / self.figures.tokens_per_ms + attention
+        pairs = chunk * first.context_tokens / 1e6
+        attention = self.profile.ms_per_million_pairs * pairs
+        return chunk / self.profile.tokens_per_ms + attention
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What callers and routers saw.
+    """Results of a simulation.
 
     Attributes:
-        long_paused: Share of the answers to long prompts with too long a pause.
-        short_paused: The same of short prompts.
-        apart: Routers that kept long prompts apart at the end.
+        long_paused: Share of the answers to long prompts that pause too long.
+        short_paused: The same share for short prompts.
+        apart: Number of routers that keep long prompts apart at the end.
     """
 
     long_paused: float
@@ -156,12 +158,12 @@
 
 
 class _Simulation:
-    def __init__(self, choose: Chooser, seed: int, figures: EngineProfile) -> None:
+    def __init__(self, choose: Chooser, seed: int, profile: EngineProfile) -> None:
         self._choose = choose
-        self._figures = figures
+        self._profile = profile
         self._mixes = [PromptMix() for _ in range(ROUTERS)]
         self._rng = random.Random(seed)
-        self._engines = [_build_engine(number, figures) for number in range(ENGINES)]
+        self._engines = [_build_engine(number, profile) for number in range(ENGINES)]
         self._views = [
             [Candidate(engine.entry, TargetHealth()) for engine in self._engines]
             for _ in range(ROUTERS)
@@ -169,7 +171,7 @@
         self._ended: list[Answer] = []
 
     def run(self) -> Outcome:
-        """Send requests for a while; return what their callers saw."""
+        """Send requests for the whole duration; return the results."""
         now = 0.0
         while now < RUN_SECONDS * 1_000:
             now += (
@@ -206,7 +208,7 @@
         parts: Sequence[PromptPart],
         now: float,
     ) -> None:
-        """Let an engine read a prompt, and its router note it."""
+        """Queue a prompt on an engine and record it at its router."""
         long = parts[0].part_id.startswith('long')
         shared = [part for part in parts[:-1] if part.part_id not in engine.cached]
         unread = parts[-1].tokens + sum(part.tokens for part in shared)
@@ -218,37 +220,37 @@
         mix.record_prompt(prompt, unread, now / 1_000)
         health.record_parts(parts, now / 1_000)
         events = 13 if long else 73
-        tokens = events * self._figures.tokens_per_event
+        tokens = events * self._profile.tokens_per_event
         answer = Answer(health, unread, cached, tokens, long, mix, prompt)
         engine.waiting.append(answer)
 
     def _draw_long_prompt(self) -> tuple[PromptPart, ...]:
-        thing = self._rng.randrange(118)
-        sizes = random.Random(thing)
+        prefix_number = self._rng.randrange(118)
+        sizes = random.Random(prefix_number)
         shared = min(17_000, int(sizes.lognormvariate(8.5, 0.7)))
         own = min(39_600, int(self._rng.lognormvariate(7.5, 1.0)))
-        return PromptPart(f'long-{thing}', shared), PromptPart('own', own)
+        return PromptPart(f'long-{prefix_number}', shared), PromptPart('own', own)
 
     def _draw_short_prompt(self) -> tuple[PromptPart, ...]:
-        thing = self._rng.randrange(199)
+        prefix_number = self._rng.randrange(199)
         own = min(1_500, int(self._rng.lognormvariate(6.0, 1.0)))
-        return PromptPart(f'short-{thing}', 198), PromptPart('own', own)
+        return PromptPart(f'short-{prefix_number}', 198), PromptPart('own', own)
 
     def _measure_paused_share(self, long: bool) -> float:
-        seen = [one.max_pause_ms for one in self._ended if one.long is long]
-        accepted = self._figures.max_pause_ms
-        return sum(pause > accepted for pause in seen) / max(1, len(seen))
+        pauses = [answer.max_pause_ms for answer in self._ended if answer.long is long]
+        accepted = self._profile.accepted_pause_ms
+        return sum(pause > accepted for pause in pauses) / max(1, len(pauses))
 
 
-def play(choose: Chooser, seed: int, figures: EngineProfile = SLOW_READERS) -> Outcome:
-    """Return what callers saw of a minute of mixed prompts.
+def play(choose: Chooser, seed: int, profile: EngineProfile = SLOW_READERS) -> Outcome:
+    """Simulate a minute of mixed prompts and return the results.
 
     Args:
-        choose: Chooses the engine of a request at its router.
+        choose: Function with which a router chooses the engine of a request.
         seed: Seed of arrivals and sizes.
-        figures: What the engines do.
+        profile: Profile of the engines.
     """
-    return _Simulation(choose, seed, figures).run()
+    return _Simulation(choose, seed, profile).run()
 
 
 def choose_least_running(
@@ -257,8 +259,8 @@
     now: float,
     split: EngineSplit | None = None,
 ) -> Candidate | None:
-    """Choose the engine with the fewest requests of this router: the baseline."""
-    return min(candidates, key=lambda one: one.health.running)
+    """Choose the engine that runs the fewest requests of this router (baseline)."""
+    return min(candidates, key=lambda candidate: candidate.health.running)
 
 
 def choose_mixed(
@@ -267,7 +269,7 @@
     now: float,
     split: EngineSplit | None = None,
 ) -> Candidate | None:
-    """Choose as shipped, but never keep long prompts apart."""
+    """Choose as shipped, but never keep long prompts apart (baseline)."""
     return choose_engine(candidates, parts, now)
 
 
@@ -275,21 +277,21 @@
     """Print the table."""
     print('| engines | choice | seed | long that paused | short that paused | apart |')
     print('| --- | --- | --- | --- | --- | --- |')
-    for name, figures in (('slow', SLOW_READERS), ('fast', FAST_READERS)):
+    for name, profile in (('slow', SLOW_READERS), ('fast', FAST_READERS)):
         for choose in (choose_least_running, choose_mixed, choose_engine):
             for seed in (1, 2, 3):
-                seen = play(choose, seed, figures)
-                cells = f'{seen.long_paused:.3f} | {seen.short_paused:.3f}'
+                run = play(choose, seed, profile)
+                cells = f'{run.long_paused:.3f} | {run.short_paused:.3f}'
                 print(
-                    f'| {name} | {choose.__name__} | {seed} | {cells} | {seen.apart} |'
+                    f'| {name} | {choose.__name__} | {seed} | {cells} | {run.apart} |'
                 )
 
 
-def _build_engine(number: int, figures: EngineProfile) -> Engine:
+def _build_engine(number: int, profile: EngineProfile) -> Engine:
     address = ('10.0.0.1', number)
     domain = f'd-{number % 4}'
     entry = TargetEntry(f'i-{number}', 'svc', address, domain, 64, False, 1)
-    return Engine(entry, figures)
+    return Engine(entry, profile)
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/experiments/target_model.py
+++ b/packages/bench/src/ibisport_bench/experiments/target_model.py
@@ -1,4 +1,4 @@
-"""A fixed model of a target with slots behind a queue policy."""
+"""Model of a target with slots behind a queue policy."""
 
 import random
 from collections import Counter, defaultdict
@@ -26,7 +26,7 @@
 MEAN_HOLD_SECONDS = MEAN_PROMPT_TOKENS / PROMPT_TOKENS_PER_SECOND + (
     MEAN_OUTPUT_TOKENS / OUTPUT_TOKENS_PER_SECOND
 )
-# Requests a second with all slots taken.
+# Requests per second with all slots in use.
 CAPACITY = SLOTS / MEAN_HOLD_SECONDS
 
 
@@ -35,10 +35,10 @@
     """Requests of one workspace in one class.
 
     Attributes:
-        workspace: Its name.
-        rate: Requests a second.
-        priority: Priority of its class.
-        size: Factor on the tokens of a request.
+        workspace: Name of the workspace.
+        rate: Requests per second.
+        priority: Priority of the class.
+        size: Factor on the token counts of a request.
     """
 
     workspace: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A ticket and what the target will really make of it."""
+    """A ticket, and the tokens that the request actually uses."""
 
     ticket: Ticket
     arrived_at: float
@@ -58,18 +58,27 @@
 
     @property
     def prefill_seconds(self) -> float:
-        """Time from the slot to the first token."""
+        """Time from the start in a slot to the first token."""
         return self.prompt_tokens / PROMPT_TOKENS_PER_SECOND
 
     @property
     def hold_seconds(self) -> float:
-        """Time for which the slot is held."""
+        """Time for which the request holds its slot."""
         return self.prefill_seconds + self.output_tokens / OUTPUT_TOKENS_PER_SECOND
 
 
 @dataclass
 class TargetFigures:
-    """What a run showed, by (workspace, priority)."""
+    """Figures of a run, without the warm-up.
+
+    Attributes:
+        waits: Seconds in the queue, by (workspace, priority).
+        first_tokens: Seconds from arrival to first token, by (workspace, priority).
+        refused: Requests refused, evicted or expired, by workspace.
+        sent: Requests sent, by workspace.
+        tokens_in_time: Tokens of the requests that ended by their deadline.
+        seconds_in_time: Slot time of the requests that ended by their deadline.
+    """
 
     waits: dict[tuple[str, int], list[float]] = field(
         default_factory=lambda: defaultdict(list)
@@ -84,14 +93,14 @@
 
 
 class TargetRun:
-    """One run of sources against a policy.
+    """One run of sources against a queue policy.
 
     Args:
-        policy: The queue under test.
-        seed: Seed of arrivals and sizes; each source has its own stream, so
-            that adding one changes nothing for the others.
-        seconds: Virtual length of the arrivals.
-        warm_up: Virtual seconds at the start that are not counted.
+        policy: The queue policy under test.
+        seed: Seed of arrivals and sizes; each source has its own generator, so
+            that adding a source doesn't change the draws of another.
+        seconds: Virtual duration of the arrivals.
+        warm_up: Virtual seconds at the start whose requests are not counted.
     """
 
     def __init__(
@@ -106,23 +115,25 @@
         self._requests: dict[bytes, Request] = {}
 
     def run(self, sources: list[Source]) -> TargetFigures:
-        """Run all sources to their end and return what was seen."""
+        """Run all sources until their last request ends and return the figures."""
         for number, source in enumerate(sources):
-            stream = random.Random(f'{self._seed} {source.workspace} {source.priority}')
-            self._plan_arrivals(source, number, stream)
+            generator = random.Random(
+                f'{self._seed} {source.workspace} {source.priority}'
+            )
+            self._plan_arrivals(source, number, generator)
         self._timeline.run()
         return self.figures
 
     def _plan_arrivals(
-        self, source: Source, number: int, stream: random.Random
+        self, source: Source, number: int, generator: random.Random
     ) -> None:
-        at = stream.expovariate(source.rate)
+        at = generator.expovariate(source.rate)
         count = 0
         while at < self._seconds:
             name = f'{number}-{count}'.encode().ljust(16)
-            request = _draw_request(source, name, at, stream)
+            request = _draw_request(source, name, at, generator)
             self._timeline.schedule(at, partial(self._arrive, request))
-            at += stream.expovariate(source.rate)
+            at += generator.expovariate(source.rate)
             count += 1
 
     def _arrive(self, request: Request) -> None:
@@ -186,9 +197,9 @@
 
 
 def _draw_request(
-    source: Source, name: bytes, at: float, stream: random.Random
+    source: Source, name: bytes, at: float, generator: random.Random
 ) -> Request:
-    prompt = int(stream.uniform(0.2, 1.8) * MEAN_PROMPT_TOKENS * source.size)
+    prompt = int(generator.uniform(0.2, 1.8) * MEAN_PROMPT_TOKENS * source.size)
     reserved = int(RESERVED_OUTPUT_TOKENS * source.size)
     ticket = Ticket(
         request_id=name,
@@ -199,4 +210,4 @@
         cost=prompt + reserved,
         deadline=at + DEADLINE_SECONDS,
     )
-    return Request(ticket, at, prompt, stream.randint(MIN_OUTPUT_TOKENS, reserved))
+    return Request(ticket, at, prompt, generator.randint(MIN_OUTPUT_TOKENS, reserved))
--- a/packages/bench/src/ibisport_bench/load/runner.py
+++ b/packages/bench/src/ibisport_bench/load/runner.py
@@ -17,8 +17,8 @@
 def run_load(config: LoadConfig, routers: Sequence[str]) -> Recorder:
     """Run a load against routers until all requests have ended.
 
-    Requests that are still open twice the patience and a margin after the last
-    one was sent are counted as ``unfinished``.
+    Requests that are still open twice the patience and a margin after the last request
+    was sent are counted as ``unfinished``.
 
     Args:
         config: Configuration of the run.
