--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -206,8 +206,8 @@
         decision = budget.decide_retry(failure, idempotent, deadline, attempt, now)
         match decision:
             case Retry(earliest):
-                did_not_run = failure.statement is errors.Statement.did_not_run
-                assert idempotent or did_not_run
+                not_run = failure.statement is errors.Statement.did_not_run
+                assert idempotent or not_run
                 assert now <= earliest < deadline
             case GiveUp(returned):
                 assert returned is failure
