--- a/packages/bench/src/ibisport_bench/experiments/fairness.py
+++ b/packages/bench/src/ibisport_bench/experiments/fairness.py
@@ -112,7 +112,7 @@
 
 
 def make_small(load: float, priority: int = 0) -> list[Source]:
-    """Return sources of the small workspaces, together at a load of capacity."""
+    """Return sources of the small workspaces; load is a fraction of the capacity."""
     rate = load * CAPACITY / SMALL_WORKSPACES
     return [
         Source(f'small-{number}', rate, priority) for number in range(SMALL_WORKSPACES)
@@ -120,7 +120,7 @@
 
 
 def add_large(sources: list[Source], factor: float, priority: int = 0) -> list[Source]:
-    """Return the sources and a large one that sends a multiple of its share."""
+    """Return the sources and a large workspace that sends factor times its share."""
     if not factor:
         return sources
     share = CAPACITY / (SMALL_WORKSPACES + 1)
