--- a/packages/bench/src/ibisport_bench/experiments/fairness.py
+++ b/packages/bench/src/ibisport_bench/experiments/fairness.py
@@ -1,7 +1,7 @@
-"""The queue of one target: small workspaces beside a large one, and overload.
+"""Compares queue policies of one target, with a large workspace and in overload.
 
 Run by ``python -m ibisport_bench.experiments.fairness --seed 1``. All times are
-virtual, so that the figures depend on the seed only.
+virtual, so the figures depend only on the seed.
 """
 
 from collections.abc import Callable
@@ -27,8 +27,8 @@
     CAPACITY,
     MEAN_TOKENS,
     SLOTS,
-    Observed,
     Source,
+    TargetFigures,
     TargetRun,
 )
 
@@ -36,15 +36,15 @@
 SMALL_LOADS = (0.45, 0.7)
 LARGE_FACTORS = (0, 1, 10, 100)
 LOADS = (0.5, 0.9, 1.0, 1.2, 2.0)
-SECONDS = 300
-SEEDS = 3
-WARM_UP = 30
+RUN_SECONDS = 300
+SEED_COUNT = 3
+WARM_UP_SECONDS = 30
 LARGE = 'large'
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """A queue policy under its name."""
+class PolicyVariant:
+    """A queue policy and its name in the tables."""
 
     name: str
     make: Callable[[], QueuePolicy]
@@ -52,11 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodput:
-    """Parts of the capacity that were spent on answers in time.
+    """Fractions of the capacity that were spent on answers in time.
 
     Attributes:
-        slot_time: Time of the slots.
-        tokens: Tokens; more for requests of long prompts, which take less time.
+        slot_time: Fraction of the slot time.
+        tokens: Fraction of the token capacity; higher for long prompts, as a prompt
+            token takes less time than an output token.
     """
 
     slot_time: float
@@ -65,21 +66,21 @@
 
 def make_fair(
     name: str, reserve: Reserve | None = None, head_start: float | None = None
-) -> Way:
-    """Return the fair queue with other constants."""
-    usual = FairOptions()
+) -> PolicyVariant:
+    """Return the fair queue with other options."""
+    defaults = FairOptions()
     options = FairOptions(
-        reserve=usual.reserve if reserve is None else reserve,
-        head_start=usual.head_start if head_start is None else head_start,
+        reserve=defaults.reserve if reserve is None else reserve,
+        head_start=defaults.head_start if head_start is None else head_start,
     )
-    return Way(name, lambda: FairPolicy(SLOTS, options))
+    return PolicyVariant(name, lambda: FairPolicy(SLOTS, options))
 
 
 FAIR = make_fair('fair')
-WAYS = (
+POLICIES = (
     FAIR,
-    Way('FIFO', lambda: PlainPolicy(SLOTS, FifoOrder())),
-    Way('round robin', lambda: PlainPolicy(SLOTS, RoundRobinOrder())),
+    PolicyVariant('FIFO', lambda: PlainPolicy(SLOTS, FifoOrder())),
+    PolicyVariant('round robin', lambda: PlainPolicy(SLOTS, RoundRobinOrder())),
 )
 RESERVES = (
     make_fair('none', NoReserve()),
@@ -98,16 +99,20 @@
 )
 
 
-def run_way(way: Way, sources: list[Source], seed: int) -> list[Observed]:
-    """Run one way with a few seeds."""
+def run_policy(
+    variant: PolicyVariant, sources: list[Source], seed: int
+) -> list[TargetFigures]:
+    """Run a policy with consecutive seeds."""
     return [
-        TargetRun(way.make(), seed + step, SECONDS, WARM_UP).run(sources)
-        for step in range(SEEDS)
+        TargetRun(variant.make(), seed + step, RUN_SECONDS, WARM_UP_SECONDS).run(
+            sources
+        )
+        for step in range(SEED_COUNT)
     ]
 
 
 def make_small(load: float, priority: int = 0) -> list[Source]:
-    """Return the small workspaces' sources, with a total load of capacity."""
+    """Return sources of the small workspaces; load is a fraction of the capacity."""
     rate = load * CAPACITY / SMALL_WORKSPACES
     return [
         Source(f'small-{number}', rate, priority) for number in range(SMALL_WORKSPACES)
@@ -115,32 +120,34 @@
 
 
 def add_large(sources: list[Source], factor: float, priority: int = 0) -> list[Source]:
-    """Return the sources with a large one that sends so often its share."""
+    """Return the sources and a large workspace that sends factor times its share."""
     if not factor:
         return sources
     share = CAPACITY / (SMALL_WORKSPACES + 1)
     return [*sources, Source(LARGE, factor * share, priority)]
 
 
-def gather(runs: list[Observed], kind: str, priority: int | None = None) -> list[float]:
-    """Return the samples of the small workspaces.
+def gather(
+    runs: list[TargetFigures], kind: str, priority: int | None = None
+) -> list[float]:
+    """Return the samples of the small workspaces of all runs.
 
     Args:
-        runs: What was seen.
+        runs: Figures of the runs.
         kind: ``waits`` or ``first_tokens``.
-        priority: Only these requests, if given.
+        priority: Priority of the samples; all if not given.
     """
     samples: list[float] = []
     for run in runs:
-        for (workspace, of), found in getattr(run, kind).items():
-            if workspace != LARGE and priority in {None, of}:
-                samples.extend(found)
+        for (workspace, sample_priority), times in getattr(run, kind).items():
+            if workspace != LARGE and priority in {None, sample_priority}:
+                samples.extend(times)
     return samples
 
 
-def measure_goodput(runs: list[Observed]) -> Goodput:
-    """Return what came in time, as parts of the capacity."""
-    seconds = (SECONDS - WARM_UP) * len(runs)
+def measure_goodput(runs: list[TargetFigures]) -> Goodput:
+    """Return the goodput over all runs."""
+    seconds = (RUN_SECONDS - WARM_UP_SECONDS) * len(runs)
     return Goodput(
         slot_time=sum(run.seconds_in_time for run in runs) / seconds / SLOTS,
         tokens=sum(run.tokens_in_time for run in runs)
@@ -149,25 +156,27 @@
     )
 
 
-def measure_refused(runs: list[Observed], large: bool) -> float:
-    """Return the part of the requests that was refused or expired."""
+def measure_refused(runs: list[TargetFigures], large: bool) -> float:
+    """Return the fraction of the requests that was refused or expired."""
     names = {name for run in runs for name in run.sent if (name == LARGE) is large}
     sent = sum(run.sent[name] for run in runs for name in names)
     return sum(run.refused[name] for run in runs for name in names) / max(sent, 1)
 
 
-def compare_neighbours(ways: tuple[Way, ...], load: float, seed: int) -> None:
-    """Print the small workspaces' waits alone and beside a large one."""
+def compare_neighbours(
+    variants: tuple[PolicyVariant, ...], load: float, seed: int
+) -> None:
+    """Print the waits of small workspaces, alone and beside a large one."""
     rows = []
-    for way in ways:
+    for variant in variants:
         alone = float('nan')
         for factor in LARGE_FACTORS:
-            runs = run_way(way, add_large(make_small(load), factor), seed)
+            runs = run_policy(variant, add_large(make_small(load), factor), seed)
             first = compute_percentile(gather(runs, 'first_tokens'), 95)
             alone = first if not factor else alone
             rows.append(
                 (
-                    way.name,
+                    variant.name,
                     f'{factor}x',
                     *_format_waits(gather(runs, 'waits')),
                     f'{first:.3f}',
@@ -195,32 +204,32 @@
     )
 
 
-def compare_loads(ways: tuple[Way, ...], seed: int) -> None:
+def compare_loads(variants: tuple[PolicyVariant, ...], seed: int) -> None:
     """Print the goodput of ten equal workspaces below and above capacity."""
     rows = []
-    for way in ways:
-        found = [_run_equal(way, load, seed) for load in LOADS]
-        slot_time = [goodput.slot_time for goodput in found]
-        tokens = [goodput.tokens for goodput in found]
-        rows.append((way.name, 'slot time', *_format_kept(slot_time)))
-        rows.append((way.name, 'tokens', *_format_kept(tokens)))
+    for variant in variants:
+        goodputs = [_run_equal_workspaces(variant, load, seed) for load in LOADS]
+        slot_time = [goodput.slot_time for goodput in goodputs]
+        tokens = [goodput.tokens for goodput in goodputs]
+        rows.append((variant.name, 'slot time', *_format_by_load(slot_time)))
+        rows.append((variant.name, 'tokens', *_format_by_load(tokens)))
     columns = ('way', 'in time', *(f'{load}' for load in LOADS), '2.0 to 1.0')
     print_table('Goodput as a part of capacity, by load', columns, rows)
 
 
 def compare_priorities(seed: int) -> None:
-    """Print what classes cost when a large workspace floods the better one."""
+    """Print waits by class while a large workspace floods the preferred class."""
     rows = []
-    for way in HEAD_STARTS:
+    for variant in HEAD_STARTS:
         sources = [*make_small(0.35, 0), *make_small(0.35, 1)]
-        runs = run_way(way, add_large(sources, 100), seed)
-        better = gather(runs, 'waits', priority=0)
-        worse = gather(runs, 'waits', priority=1)
+        runs = run_policy(variant, add_large(sources, 100), seed)
+        preferred = gather(runs, 'waits', priority=0)
+        other = gather(runs, 'waits', priority=1)
         rows.append(
             (
-                way.name,
-                *_format_waits(better),
-                *_format_waits(worse),
+                variant.name,
+                *_format_waits(preferred),
+                *_format_waits(other),
                 f'{measure_refused(runs, large=False):.4f}',
             )
         )
@@ -236,16 +245,18 @@
     """Run the experiment and print its tables.
 
     Args:
-        seed: First seed; each figure pools three in a row.
+        seed: First seed; each figure pools three consecutive seeds.
         part: One of ``neighbours``, ``loads``, ``reserves``, ``priorities``, or
             ``all``.
     """
-    print(f'seed {seed}, {SEEDS} seeds pooled, {SECONDS} s each, {SLOTS} slots')
+    print(
+        f'seed {seed}, {SEED_COUNT} seeds pooled, {RUN_SECONDS} s each, {SLOTS} slots'
+    )
     if part in {'neighbours', 'all'}:
         for load in SMALL_LOADS:
-            compare_neighbours(WAYS, load, seed)
+            compare_neighbours(POLICIES, load, seed)
     if part in {'loads', 'all'}:
-        compare_loads(WAYS, seed)
+        compare_loads(POLICIES, seed)
     if part in {'reserves', 'all'}:
         compare_neighbours(RESERVES, SMALL_LOADS[0], seed)
         compare_loads(RESERVES, seed)
@@ -253,15 +264,17 @@
         compare_priorities(seed)
 
 
-def _run_equal(way: Way, load: float, seed: int) -> Goodput:
+def _run_equal_workspaces(variant: PolicyVariant, load: float, seed: int) -> Goodput:
     rate = load * CAPACITY / (SMALL_WORKSPACES + 1)
     names = [f'equal-{number}' for number in range(SMALL_WORKSPACES + 1)]
-    return measure_goodput(run_way(way, [Source(name, rate) for name in names], seed))
+    return measure_goodput(
+        run_policy(variant, [Source(name, rate) for name in names], seed)
+    )
 
 
-def _format_kept(by_load: list[float]) -> list[str]:
-    kept = by_load[LOADS.index(2.0)] / by_load[LOADS.index(1.0)]
-    return [f'{part:.3f}' for part in (*by_load, kept)]
+def _format_by_load(by_load: list[float]) -> list[str]:
+    ratio = by_load[LOADS.index(2.0)] / by_load[LOADS.index(1.0)]
+    return [f'{figure:.3f}' for figure in (*by_load, ratio)]
 
 
 def _format_waits(waits: list[float]) -> list[str]:
--- a/packages/bench/src/ibisport_bench/experiments/placing.py
+++ b/packages/bench/src/ibisport_bench/experiments/placing.py
@@ -1,7 +1,8 @@
-"""Plays prompts of mixed length over model engines, placed by the shipped choice.
+"""Simulates placing prompts of mixed length on model engines.
 
-Time is virtual: an engine works in steps, and in each step it reads a piece of a
-prompt and generates a token for every answer that runs. All is seeded.
+The shipped choice is compared with baselines. Time is virtual: an engine works in
+steps; each step prefills a chunk of a prompt and generates a token for every running
+answer. All random draws are seeded.
 ``python -m ibisport_bench.experiments.placing`` prints the table.
 """
 
@@ -15,12 +16,12 @@
 from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry
 
-PIECE_TOKENS = 2_048
+PREFILL_CHUNK_TOKENS = 2_048
 ENGINES = 8
 ROUTERS = 5
-SECONDS = 60
-LONG_PER_SECOND = 5.4
-SHORT_PER_SECOND = 13.7
+RUN_SECONDS = 60
+LONG_PROMPTS_PER_SECOND = 5.4
+SHORT_PROMPTS_PER_SECOND = 13.7
 
 Chooser = Callable[
     [Sequence[Candidate], Sequence[PromptPart], float, EngineSplit | None],
@@ -29,27 +30,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """What a kind of engine does, and what its callers accept.
+class EngineProfile:
+    """Speed of a kind of engine, and the pause that its callers accept.
 
     Attributes:
-        step_ms: Milliseconds of a step that only generates.
-        tokens_per_ms: Prompt tokens that are read in a millisecond.
+        step_ms: Milliseconds of a step without prefill.
+        tokens_per_ms: Prompt tokens prefilled in a millisecond, without attention.
         ms_per_million_pairs: Milliseconds of attention for a million pairs of tokens.
-        tokens_per_event: Tokens in one event of a stream.
-        longest_pause_ms: Longest pause between two events of an answer in time.
+        tokens_per_event: Tokens in an event of a stream.
+        accepted_pause_ms: Maximum pause between two events of an answer in time.
     """
 
     step_ms: float
     tokens_per_ms: float
     ms_per_million_pairs: float
     tokens_per_event: int
-    longest_pause_ms: float
+    accepted_pause_ms: float
 
 
-# The users' sheets give these.
-SLOW_READERS = Figures(6.35, 42.8, 0.97, 4, 300.0)
-FAST_READERS = Figures(3.79, 56.6, 0.124, 5, 400.0)
+# Values from the users' sheets.
+SLOW_READERS = EngineProfile(6.35, 42.8, 0.97, 4, 300.0)
+FAST_READERS = EngineProfile(3.79, 56.6, 0.124, 5, 400.0)
 
 
 @dataclass(slots=True)
@@ -57,49 +58,50 @@
     """One request on its engine, times in milliseconds.
 
     Attributes:
-        health: What its router knows of the engine.
-        unread: Tokens of its prompt that are left to read.
-        context: Tokens that have been read.
-        tokens: Tokens left to generate.
-        longest_pause: Longest time between two of its events.
-        mix: What its router sees of the service.
-        prompt: Length of its prompt.
+        health: The router's view of the engine.
+        unread_tokens: Prompt tokens still to prefill.
+        context_tokens: Prompt tokens prefilled or cached.
+        remaining_tokens: Tokens still to generate.
+        long: Whether the prompt is a long one.
+        mix: The router's record of the prompts of the service.
+        prompt_tokens: Tokens of the whole prompt.
+        max_pause_ms: Maximum time between two events.
     """
 
     health: TargetHealth
-    unread: int
-    context: int
-    tokens: int
+    unread_tokens: int
+    context_tokens: int
+    remaining_tokens: int
     long: bool
     mix: PromptMix
-    prompt: int
-    longest_pause: float = 0.0
-    _last_event: float = -1.0
+    prompt_tokens: int
+    max_pause_ms: float = 0.0
+    _last_event_at: float = -1.0
 
-    def note_token(self, now: float, figures: Figures) -> None:
+    def generate_token(self, now: float, profile: EngineProfile) -> None:
         """Generate one token."""
-        self.tokens -= 1
+        self.remaining_tokens -= 1
         self.health.last_received_at = now / 1_000
-        if self.tokens % figures.tokens_per_event:
+        if self.remaining_tokens % profile.tokens_per_event:
             return
-        if self._last_event >= 0:
-            self.longest_pause = max(self.longest_pause, now - self._last_event)
-        self._last_event = now
+        if self._last_event_at >= 0:
+            self.max_pause_ms = max(self.max_pause_ms, now - self._last_event_at)
+        self._last_event_at = now
 
 
 @dataclass(slots=True)
 class Engine:
-    """One engine: prompts that wait to be read, and answers that run."""
+    """One engine, with its prompts to prefill and its running answers."""
 
     entry: TargetEntry
-    figures: Figures
+    profile: EngineProfile
     cached: set[str] = field(default_factory=set)
     waiting: list[Answer] = field(default_factory=list)
     running: list[Answer] = field(default_factory=list)
     now: float = 0.0
 
     def run_until(self, until: float, ended: list[Answer]) -> None:
-        """Take steps up to a time."""
+        """Run steps until a time."""
         while self.now < until:
             if not (self.waiting or self.running):
                 self.now = until
@@ -107,45 +109,47 @@
             self._step(ended)
 
     def _step(self, ended: list[Answer]) -> None:
-        self.now += self.figures.step_ms + self._read()
+        self.now += self.profile.step_ms + self._prefill()
         for answer in tuple(self.running):
-            answer.note_token(self.now, self.figures)
-            if not answer.tokens:
-                self._end(answer, ended)
+            answer.generate_token(self.now, self.profile)
+            if not answer.remaining_tokens:
+                self._finish_answer(answer, ended)
 
-    def _end(self, answer: Answer, ended: list[Answer]) -> None:
+    def _finish_answer(self, answer: Answer, ended: list[Answer]) -> None:
         self.running.remove(answer)
         answer.health.end_request()
-        pause = answer.longest_pause / 1_000
-        accepted = self.figures.longest_pause_ms / 1_000
-        answer.mix.record_answer(answer.prompt, pause, accepted, self.now / 1_000)
+        pause = answer.max_pause_ms / 1_000
+        accepted = self.profile.accepted_pause_ms / 1_000
+        answer.mix.record_answer(
+            answer.prompt_tokens, pause, accepted, self.now / 1_000
+        )
         ended.append(answer)
 
-    def _read(self) -> float:
-        """Read a piece of the first prompt; return how long it takes."""
+    def _prefill(self) -> float:
+        """Prefill a chunk of the first prompt; return its duration in milliseconds."""
         if not self.waiting:
             return 0.0
         first = self.waiting[0]
-        piece = min(PIECE_TOKENS, first.unread)
-        first.unread -= piece
-        first.health.pending_prompt_tokens -= piece
-        first.context += piece
-        if not first.unread:
+        chunk = min(PREFILL_CHUNK_TOKENS, first.unread_tokens)
+        first.unread_tokens -= chunk
+        first.health.pending_prompt_tokens -= chunk
+        first.context_tokens += chunk
+        if not first.unread_tokens:
             self.waiting.pop(0)
             self.running.append(first)
-        pairs = piece * first.context / 1e6
-        attention = self.figures.ms_per_million_pairs * pairs
-        return piece / self.figures.tokens_per_ms + attention
+        pairs = chunk * first.context_tokens / 1e6
+        attention = self.profile.ms_per_million_pairs * pairs
+        return chunk / self.profile.tokens_per_ms + attention
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What callers and routers saw.
+    """Results of a simulation.
 
     Attributes:
-        long_paused: Share of the answers to long prompts with too long a pause.
-        short_paused: The same of short prompts.
-        apart: Routers that kept long prompts apart at the end.
+        long_paused: Share of the answers to long prompts that pause too long.
+        short_paused: The same share for short prompts.
+        apart: Number of routers that keep long prompts apart at the end.
     """
 
     long_paused: float
@@ -153,13 +157,13 @@
     apart: int
 
 
-class _Play:
-    def __init__(self, choose: Chooser, seed: int, figures: Figures) -> None:
+class _Simulation:
+    def __init__(self, choose: Chooser, seed: int, profile: EngineProfile) -> None:
         self._choose = choose
-        self._figures = figures
+        self._profile = profile
         self._mixes = [PromptMix() for _ in range(ROUTERS)]
         self._rng = random.Random(seed)
-        self._engines = [_build_engine(number, figures) for number in range(ENGINES)]
+        self._engines = [_build_engine(number, profile) for number in range(ENGINES)]
         self._views = [
             [Candidate(engine.entry, TargetHealth()) for engine in self._engines]
             for _ in range(ROUTERS)
@@ -167,21 +171,28 @@
         self._ended: list[Answer] = []
 
     def run(self) -> Outcome:
-        """Send requests for a while; return what their callers saw."""
+        """Send requests for the whole duration; return the results."""
         now = 0.0
-        while now < SECONDS * 1_000:
-            now += self._rng.expovariate(LONG_PER_SECOND + SHORT_PER_SECOND) * 1_000
+        while now < RUN_SECONDS * 1_000:
+            now += (
+                self._rng.expovariate(
+                    LONG_PROMPTS_PER_SECOND + SHORT_PROMPTS_PER_SECOND
+                )
+                * 1_000
+            )
             for engine in self._engines:
                 engine.run_until(now, self._ended)
             self._send(now)
         apart = sum(mix.split is not None for mix in self._mixes)
-        return Outcome(self._share_paused(True), self._share_paused(False), apart)
+        return Outcome(
+            self._measure_paused_share(True), self._measure_paused_share(False), apart
+        )
 
     def _send(self, now: float) -> None:
-        long = self._rng.random() < LONG_PER_SECOND / (
-            LONG_PER_SECOND + SHORT_PER_SECOND
+        long = self._rng.random() < LONG_PROMPTS_PER_SECOND / (
+            LONG_PROMPTS_PER_SECOND + SHORT_PROMPTS_PER_SECOND
         )
-        parts = self._draw_long() if long else self._draw_short()
+        parts = self._draw_long_prompt() if long else self._draw_short_prompt()
         router = self._rng.randrange(ROUTERS)
         view, mix = self._views[router], self._mixes[router]
         chosen = self._choose(view, parts, now / 1_000, mix.split)
@@ -197,7 +208,7 @@
         parts: Sequence[PromptPart],
         now: float,
     ) -> None:
-        """Let an engine read a prompt, and its router note it."""
+        """Queue a prompt on an engine and record it at its router."""
         long = parts[0].part_id.startswith('long')
         shared = [part for part in parts[:-1] if part.part_id not in engine.cached]
         unread = parts[-1].tokens + sum(part.tokens for part in shared)
@@ -209,37 +220,37 @@
         mix.record_prompt(prompt, unread, now / 1_000)
         health.record_parts(parts, now / 1_000)
         events = 13 if long else 73
-        tokens = events * self._figures.tokens_per_event
+        tokens = events * self._profile.tokens_per_event
         answer = Answer(health, unread, cached, tokens, long, mix, prompt)
         engine.waiting.append(answer)
 
-    def _draw_long(self) -> tuple[PromptPart, ...]:
-        thing = self._rng.randrange(118)
-        sizes = random.Random(thing)
+    def _draw_long_prompt(self) -> tuple[PromptPart, ...]:
+        prefix_number = self._rng.randrange(118)
+        sizes = random.Random(prefix_number)
         shared = min(17_000, int(sizes.lognormvariate(8.5, 0.7)))
         own = min(39_600, int(self._rng.lognormvariate(7.5, 1.0)))
-        return PromptPart(f'long-{thing}', shared), PromptPart('own', own)
+        return PromptPart(f'long-{prefix_number}', shared), PromptPart('own', own)
 
-    def _draw_short(self) -> tuple[PromptPart, ...]:
-        thing = self._rng.randrange(199)
+    def _draw_short_prompt(self) -> tuple[PromptPart, ...]:
+        prefix_number = self._rng.randrange(199)
         own = min(1_500, int(self._rng.lognormvariate(6.0, 1.0)))
-        return PromptPart(f'short-{thing}', 198), PromptPart('own', own)
+        return PromptPart(f'short-{prefix_number}', 198), PromptPart('own', own)
 
-    def _share_paused(self, long: bool) -> float:
-        seen = [one.longest_pause for one in self._ended if one.long is long]
-        accepted = self._figures.longest_pause_ms
-        return sum(pause > accepted for pause in seen) / max(1, len(seen))
+    def _measure_paused_share(self, long: bool) -> float:
+        pauses = [answer.max_pause_ms for answer in self._ended if answer.long is long]
+        accepted = self._profile.accepted_pause_ms
+        return sum(pause > accepted for pause in pauses) / max(1, len(pauses))
 
 
-def play(choose: Chooser, seed: int, figures: Figures = SLOW_READERS) -> Outcome:
-    """Return what callers saw of a minute of mixed prompts.
+def play(choose: Chooser, seed: int, profile: EngineProfile = SLOW_READERS) -> Outcome:
+    """Simulate a minute of mixed prompts and return the results.
 
     Args:
-        choose: Chooses the engine of a request at its router.
+        choose: Function with which a router chooses the engine of a request.
         seed: Seed of arrivals and sizes.
-        figures: What the engines do.
+        profile: Profile of the engines.
     """
-    return _Play(choose, seed, figures).run()
+    return _Simulation(choose, seed, profile).run()
 
 
 def choose_least_running(
@@ -248,8 +259,8 @@
     now: float,
     split: EngineSplit | None = None,
 ) -> Candidate | None:
-    """Choose the engine with the fewest requests of this router: the baseline."""
-    return min(candidates, key=lambda one: one.health.running)
+    """Choose the engine that runs the fewest requests of this router (baseline)."""
+    return min(candidates, key=lambda candidate: candidate.health.running)
 
 
 def choose_mixed(
@@ -258,7 +269,7 @@
     now: float,
     split: EngineSplit | None = None,
 ) -> Candidate | None:
-    """Choose as shipped, but never keep long prompts apart."""
+    """Choose as shipped, but never keep long prompts apart (baseline)."""
     return choose_engine(candidates, parts, now)
 
 
@@ -266,21 +277,21 @@
     """Print the table."""
     print('| engines | choice | seed | long that paused | short that paused | apart |')
     print('| --- | --- | --- | --- | --- | --- |')
-    for name, figures in (('slow', SLOW_READERS), ('fast', FAST_READERS)):
+    for name, profile in (('slow', SLOW_READERS), ('fast', FAST_READERS)):
         for choose in (choose_least_running, choose_mixed, choose_engine):
             for seed in (1, 2, 3):
-                seen = play(choose, seed, figures)
-                cells = f'{seen.long_paused:.3f} | {seen.short_paused:.3f}'
+                run = play(choose, seed, profile)
+                cells = f'{run.long_paused:.3f} | {run.short_paused:.3f}'
                 print(
-                    f'| {name} | {choose.__name__} | {seed} | {cells} | {seen.apart} |'
+                    f'| {name} | {choose.__name__} | {seed} | {cells} | {run.apart} |'
                 )
 
 
-def _build_engine(number: int, figures: Figures) -> Engine:
+def _build_engine(number: int, profile: EngineProfile) -> Engine:
     address = ('10.0.0.1', number)
     domain = f'd-{number % 4}'
     entry = TargetEntry(f'i-{number}', 'svc', address, domain, 64, False, 1)
-    return Engine(entry, figures)
+    return Engine(entry, profile)
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/load/caller.py
+++ b/packages/bench/src/ibisport_bench/load/caller.py
@@ -1,7 +1,7 @@
-"""One caller's request: sent, retried as it is told, timed and checked.
+"""Sends one request, retries it as the refusals say, times and checks its answer.
 
-All times count from when the request was meant to be sent, so a wait in the
-load tool or in a stalled server is never left out.
+All times count from the moment at which the request was due, so that delays in the load
+tool or in a stalled server are included (no coordinated omission).
 """
 
 import time
@@ -12,96 +12,96 @@
 import urllib3
 
 from ibisport_bench.load import recording
+from ibisport_bench.load.answer_check import check_answer
 from ibisport_bench.load.arrivals import Arrival
 from ibisport_bench.load.config import LoadConfig
 from ibisport_bench.load.recording import Recorder
-from ibisport_bench.load.wholeness import check_answer
 
-_READ_BYTES = 65_536
-_MILLIS = 1000
-_OK = 200
-_RETRY_STATUSES = frozenset((429, 502, 503))
+_MAX_READ_BYTES = 65_536
+_MS_PER_SECOND = 1000
+_OK_STATUS = 200
+_RETRYABLE_STATUSES = frozenset((429, 502, 503))
 _SERVICE_PATH = '/portal/order'
 _CHAT_PATH = '/v1/chat/completions'
 
 
 @dataclass(slots=True)
-class _Reading:
+class _ReceivedBody:
     first_at: float = 0
     last_at: float = 0
     gaps: list[float] = field(default_factory=list)
-    pieces: list[bytes] = field(default_factory=list)
+    chunks: list[bytes] = field(default_factory=list)
 
-    def take(self, piece: bytes) -> None:
-        """Take a piece of the answer that has just come."""
+    def add(self, chunk: bytes) -> None:
+        """Record a chunk of the answer that has just arrived."""
         now = time.monotonic()
         if self.first_at:
             self.gaps.append(now - self.last_at)
         else:
             self.first_at = now
         self.last_at = now
-        self.pieces.append(piece)
+        self.chunks.append(chunk)
 
 
 class Caller:
-    """Sends requests to routers; one caller serves all threads."""
+    """Sends requests to routers; shared by all threads of a run."""
 
     def __init__(
         self, config: LoadConfig, routers: Sequence[str], recorder: Recorder
     ) -> None:
-        """Set the connections up.
+        """Create the connection pool.
 
         Args:
-            config: The run.
+            config: Configuration of the run.
             routers: Addresses of routers, ``host:port``.
-            recorder: Where times and counts go.
+            recorder: Receives times and counts.
         """
         self._config = config
         self._routers = routers
         self._recorder = recorder
         self._http = urllib3.PoolManager(maxsize=512, retries=False)
 
-    def run(self, arrival: Arrival, due: float) -> None:
-        """Carry a request through to its answer or its last refusal.
+    def run(self, arrival: Arrival, due_at: float) -> None:
+        """Send a request; retry until it is answered, refused for good or given up.
 
         Args:
             arrival: The request.
-            due: Monotonic time at which it should have been sent.
+            due_at: Monotonic time at which it is due.
         """
         self._recorder.observe(
-            arrival.workspace, recording.LATE, time.monotonic() - due
+            arrival.workspace, recording.LATE, time.monotonic() - due_at
         )
-        for turn in range(self._config.most_tries):
-            pause = self._try(arrival, due, turn)
-            if pause is None:
+        for attempt in range(self._config.most_tries):
+            delay = self._attempt(arrival, due_at, attempt)
+            if delay is None:
                 return
-            if time.monotonic() + pause - due > self._config.patience:
+            if time.monotonic() + delay - due_at > self._config.patience:
                 break
-            time.sleep(pause)
+            time.sleep(delay)
         self._recorder.count('given_up')
 
     def close(self) -> None:
         """Close the connections."""
         self._http.clear()
 
-    def _try(self, arrival: Arrival, due: float, turn: int) -> float | None:
-        """Send once; return seconds until the next try, or None at the end."""
-        reading = _Reading()
+    def _attempt(self, arrival: Arrival, due_at: float, attempt: int) -> float | None:
+        """Send once; return seconds until the next attempt, None if there is none."""
+        received = _ReceivedBody()
         try:
-            response = self._send(arrival, turn)
-            if response.status == _OK:
-                self._read(response, reading)
+            response = self._send(arrival, attempt)
+            if response.status == _OK_STATUS:
+                self._read_body(response, received)
         except (urllib3.exceptions.HTTPError, OSError):
             self._recorder.count('refused.connection_broken')
-            return float(turn + 1)
-        if response.status != _OK:
-            return self._note_refusal(response)
-        self._note_answer(arrival, due, reading)
+            return float(attempt + 1)
+        if response.status != _OK_STATUS:
+            return self._record_refusal(response)
+        self._record_answer(arrival, due_at, received)
         return None
 
-    def _send(self, arrival: Arrival, turn: int) -> urllib3.BaseHTTPResponse:
-        self._delay()
-        router = self._routers[(arrival.router + turn) % len(self._routers)]
+    def _send(self, arrival: Arrival, attempt: int) -> urllib3.BaseHTTPResponse:
+        self._sleep_caller_delay()
+        router = self._routers[(arrival.router + attempt) % len(self._routers)]
         path = _SERVICE_PATH if arrival.service else _CHAT_PATH
         return self._http.request(
             'POST',
@@ -116,42 +116,46 @@
             timeout=self._config.patience,
         )
 
-    def _read(self, response: urllib3.BaseHTTPResponse, reading: _Reading) -> None:
+    def _read_body(
+        self, response: urllib3.BaseHTTPResponse, received: _ReceivedBody
+    ) -> None:
         try:
-            while piece := response.read1(_READ_BYTES):
-                reading.take(piece)
+            while chunk := response.read1(_MAX_READ_BYTES):
+                received.add(chunk)
         finally:
             response.release_conn()
 
-    def _note_answer(self, arrival: Arrival, due: float, reading: _Reading) -> None:
-        back = self._config.caller_delay_ms / _MILLIS
+    def _record_answer(
+        self, arrival: Arrival, due_at: float, received: _ReceivedBody
+    ) -> None:
+        return_delay = self._config.caller_delay_ms / _MS_PER_SECOND
         workspace = arrival.workspace
         self._recorder.count('answered')
-        total = reading.last_at + back - due
+        total = received.last_at + return_delay - due_at
         self._recorder.observe(workspace, recording.TOTAL, total)
         if arrival.service:
             return
         if arrival.streamed:
-            first = reading.first_at + back - due
+            first = received.first_at + return_delay - due_at
             self._recorder.observe(workspace, recording.FIRST, first)
-            self._recorder.observe(workspace, recording.GAP, *reading.gaps)
-        self._recorder.count('chunks', len(reading.pieces))
+            self._recorder.observe(workspace, recording.GAP, *received.gaps)
+        self._recorder.count('chunks', len(received.chunks))
         verdict = check_answer(
-            b''.join(reading.pieces), arrival.streamed, arrival.prompt, arrival.tokens
+            b''.join(received.chunks), arrival.streamed, arrival.prompt, arrival.tokens
         )
         self._recorder.count(f'verdict.{type(verdict).__name__.lower()}')
 
-    def _note_refusal(self, response: urllib3.BaseHTTPResponse) -> float | None:
-        code = _read_code(response.data)
+    def _record_refusal(self, response: urllib3.BaseHTTPResponse) -> float | None:
+        code = _parse_error_code(response.data)
         self._recorder.count(f'refused.{response.status}.{code}')
-        if response.status not in _RETRY_STATUSES:
+        if response.status not in _RETRYABLE_STATUSES:
             self._recorder.count('refused_for_good')
             return None
         return float(response.headers.get('Retry-After', '1'))
 
-    def _delay(self) -> None:
+    def _sleep_caller_delay(self) -> None:
         if self._config.caller_delay_ms:
-            time.sleep(self._config.caller_delay_ms / _MILLIS)
+            time.sleep(self._config.caller_delay_ms / _MS_PER_SECOND)
 
 
 def _make_body(arrival: Arrival) -> bytes:
@@ -167,7 +171,7 @@
     )
 
 
-def _read_code(body: bytes) -> str:
+def _parse_error_code(body: bytes) -> str:
     try:
         return str(orjson.loads(body)['error']['code'])
     except (ValueError, KeyError, TypeError):
