--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import given as forall
 
 from ibisport_bench.budgetworld import BudgetWorld
-from ibisport_bench.experiments.budgetrolls import play_rolls
+from ibisport_bench.experiments.budgetrolls import simulate_rolling_restarts
 from ibisport_bench.virtualtime import run_virtually
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
@@ -459,7 +459,7 @@
 
 @given('nearly unspent budgets, and 30 routers on low-bandwidth links')
 def prepare_rolling_restarts(context):
-    context.play = play_rolls
+    context.play = simulate_rolling_restarts
 
 
 @when('all of them are stopped and started in turn, twice, with {count:d} seeds')
--- a/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
@@ -16,30 +16,30 @@
 
 HOSTS = 30
 WORKSPACES = 24
-BUDGET = 800_000
-SIZES = (500, 1_000, 2_000, 9_000)
+BUDGET_TOKENS = 800_000
+REQUEST_TOKENS = (500, 1_000, 2_000, 9_000)
 SPENT_SHARE = 0.9
-PER_SECOND = 150
-CALM_SECONDS = 6.0
+REQUESTS_PER_SECOND = 150
+WARMUP_SECONDS = 6.0
 ROUNDS = 2
 ROUND_SECONDS = 15.0
-QUIET_SECONDS = 12.0
-GAP_S = 0.25
+RECOVERY_SECONDS = 12.0
+STOP_INTERVAL_SECONDS = 0.25
 # From the signal to the end of the process: at once if nothing runs any more, or with
 # the last stream.
-STAY_SECONDS = (3.3, 7.0)
+SHUTDOWN_SECONDS = (3.3, 7.0)
 # The balancer sends nothing more after two misses.
-NOTICED_SECONDS = 2.0
+READINESS_DELAY_SECONDS = 2.0
 # A call takes 10 ms. Three hosts of four have a link of 5 Mbit/s; names of hosts are a
 # third as long here as at large sites, and so is the page.
-SLOWER = 2.5
+STORE_SLOWDOWN = 2.5
 LINK_BYTES_PER_SECOND = 200_000.0
-WIDE_LINKS = 4
+FAST_LINK_STRIDE = 4
 SEEDS = (1, 2, 3, 4)
 
 
 @dataclass(frozen=True, slots=True)
-class RollReport:
+class RollingRestartReport:
     """What one play showed.
 
     Attributes:
@@ -57,87 +57,87 @@
     page_bytes: int
 
 
-class _Play:
+class _Simulation:
     """One play: the world, its callers and the routers that leave."""
 
     def __init__(self, seed: int) -> None:
-        self.world = BudgetWorld(HOSTS, BUDGET, seed, WORKSPACES)
+        self.world = BudgetWorld(HOSTS, BUDGET_TOKENS, seed, WORKSPACES)
         self._rng = random.Random(seed)
-        self._left_at: dict[int, float] = {}
+        self._stopped_at: dict[int, float] = {}
 
-    async def press(self, seconds: float) -> None:
+    async def send_requests(self, seconds: float) -> None:
         """Send requests to routers that the balancer takes for ready."""
         rng = self._rng
-        for _ in range(int(seconds * PER_SECOND)):
+        for _ in range(int(seconds * REQUESTS_PER_SECOND)):
             self.world.ask(
                 rng.choice(self._list_ready()),
-                rng.choice(SIZES),
+                rng.choice(REQUEST_TOKENS),
                 SPENT_SHARE,
                 rng.uniform(0.1, 1.5),
                 rng.randrange(WORKSPACES),
             )
-            await asyncio.sleep(1 / PER_SECOND)
+            await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
-    async def roll_all(self) -> None:
+    async def restart_all(self) -> None:
         """Stop all routers, one after another, and start each again."""
         rolls = []
         for number in range(HOSTS):
-            rolls.append(asyncio.create_task(self._roll(number)))
-            await asyncio.sleep(GAP_S)
+            rolls.append(asyncio.create_task(self._restart(number)))
+            await asyncio.sleep(STOP_INTERVAL_SECONDS)
         await asyncio.gather(*rolls)
 
-    async def _roll(self, number: int) -> None:
-        self._left_at[number] = asyncio.get_running_loop().time()
-        await self.world.roll(number, self._rng.uniform(*STAY_SECONDS))
-        self._left_at.pop(number)
+    async def _restart(self, number: int) -> None:
+        self._stopped_at[number] = asyncio.get_running_loop().time()
+        await self.world.roll(number, self._rng.uniform(*SHUTDOWN_SECONDS))
+        self._stopped_at.pop(number)
 
     def _list_ready(self) -> list[int]:
-        oldest = asyncio.get_running_loop().time() - NOTICED_SECONDS
+        oldest = asyncio.get_running_loop().time() - READINESS_DELAY_SECONDS
         running = [one for one in range(HOSTS) if self.world.takes(one)]
-        ready = [one for one in running if self._left_at.get(one, oldest) >= oldest]
+        ready = [one for one in running if self._stopped_at.get(one, oldest) >= oldest]
         return ready or running
 
 
-async def _play(seed: int) -> RollReport:
+async def _simulate(seed: int) -> RollingRestartReport:
     # The product spreads its pauses by the module's own generator.
     random.seed(seed)
-    play = _Play(seed)
+    play = _Simulation(seed)
     world, service = play.world, play.world.service
-    service.faults.slow = SLOWER
+    service.faults.slow = STORE_SLOWDOWN
     service.links = {
         name: LINK_BYTES_PER_SECOND
         for number, name in enumerate(world.names)
-        if number % WIDE_LINKS
+        if number % FAST_LINK_STRIDE
     }
     world.start_all()
     await asyncio.sleep(1.0)
-    await play.press(CALM_SECONDS)
+    await play.send_requests(WARMUP_SECONDS)
     page_bytes = len(service.items[PAGE_KEY].content)
     world.outcomes.clear()
     steps = service.calls
     for _ in range(ROUNDS):
-        await asyncio.gather(play.roll_all(), play.press(ROUND_SECONDS))
+        await asyncio.gather(play.restart_all(), play.send_requests(ROUND_SECONDS))
     asked = world.outcomes.total()
     refused = world.outcomes['short'] + world.outcomes['spent']
     # The stand-in counts the way there and the way back.
     calls = (service.calls - steps) / 2
-    await asyncio.sleep(QUIET_SECONDS)
-    return RollReport(
+    await asyncio.sleep(RECOVERY_SECONDS)
+    return RollingRestartReport(
         refused=refused / asked,
         overspent=world.overspent,
-        stranded=world.count_stranded() / (BUDGET * WORKSPACES),
+        stranded=world.count_stranded() / (BUDGET_TOKENS * WORKSPACES),
         calls=calls / asked,
         page_bytes=page_bytes,
     )
 
 
-def play_rolls(seed: int) -> RollReport:
+def simulate_rolling_restarts(seed: int) -> RollingRestartReport:
     """Play one roll of all routers, and a second one after it.
 
     Args:
         seed: Of all that is drawn.
     """
-    report: RollReport = run_virtually(_play(seed))
+    report: RollingRestartReport = run_virtually(_simulate(seed))
     return report
 
 
@@ -146,7 +146,7 @@
     print('| seed | refused | overspent | stranded | store calls | page bytes |')
     print('| --- | --- | --- | --- | --- | --- |')
     for seed in [int(word) for word in sys.argv[1:]] or SEEDS:
-        found = play_rolls(seed)
+        found = simulate_rolling_restarts(seed)
         print(
             f'| {seed} | {found.refused:.4f} | {found.overspent} |'
             f' {found.stranded:.4f} | {found.calls:.2f} | {found.page_bytes} |',
--- a/packages/bench/src/ibisport_bench/experiments/budgets.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgets.py
@@ -15,29 +15,29 @@
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
 
-BUDGET = 4_000_000
+BUDGET_TOKENS = 4_000_000
 # Mean tokens of a request; sizes are drawn from these.
-SIZES = (500, 1_000, 2_000, 9_000)
-PER_SECOND = 30
-CALM_SECONDS = 20
-SCENE_SECONDS = 9
+REQUEST_TOKENS = (500, 1_000, 2_000, 9_000)
+REQUESTS_PER_SECOND = 30
+WARMUP_SECONDS = 20
+FAULT_SECONDS = 9
 RECOVERY_SECONDS = 12
 SEEDS = (1, 2, 3)
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """Something that happens while callers go on."""
 
     name: str
-    begin: Callable[[BudgetWorld, int], None]
+    inject_fault: Callable[[BudgetWorld, int], None]
 
 
 def _do_nothing(world: BudgetWorld, hosts: int) -> None:
     """Leave all as it is."""
 
 
-def _cut_all(world: BudgetWorld, hosts: int) -> None:
+def _disconnect_all(world: BudgetWorld, hosts: int) -> None:
     world.service.faults.cut = set(world.names)
 
 
@@ -46,7 +46,7 @@
         world.kill(number)
 
 
-def _slow_down(world: BudgetWorld, hosts: int) -> None:
+def _slow_store(world: BudgetWorld, hosts: int) -> None:
     world.service.faults.slow = 60.0
 
 
@@ -55,34 +55,36 @@
     world.service.faults.second_way = True
 
 
-SCENES = (
-    Scene('calm', _do_nothing),
-    Scene('all cut off 9 s', _cut_all),
-    Scene('all killed', _kill_all),
-    Scene('store 60 times slower 9 s', _slow_down),
-    Scene('a third of the answers lost 9 s', _lose_answers),
+SCENARIOS = (
+    Scenario('calm', _do_nothing),
+    Scenario('all cut off 9 s', _disconnect_all),
+    Scenario('all killed', _kill_all),
+    Scenario('store 60 times slower 9 s', _slow_store),
+    Scenario('a third of the answers lost 9 s', _lose_answers),
 )
 
 
-async def _press(world: BudgetWorld, seconds: float, rng: random.Random) -> None:
+async def _send_requests(
+    world: BudgetWorld, seconds: float, rng: random.Random
+) -> None:
     hosts = len(world.names)
-    for _ in range(int(seconds * PER_SECOND)):
-        tokens = rng.choice(SIZES)
+    for _ in range(int(seconds * REQUESTS_PER_SECOND)):
+        tokens = rng.choice(REQUEST_TOKENS)
         world.ask(rng.randrange(hosts), tokens, 0.9, rng.uniform(0.1, 1.5))
-        await asyncio.sleep(1 / PER_SECOND)
+        await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
 
-async def _play(scene: Scene, hosts: int, seed: int) -> dict[str, float]:
+async def _run_scenario(scene: Scenario, hosts: int, seed: int) -> dict[str, float]:
     random.seed(seed)
     rng = random.Random(seed)
-    world = BudgetWorld(hosts, BUDGET, seed)
+    world = BudgetWorld(hosts, BUDGET_TOKENS, seed)
     world.start_all()
     await asyncio.sleep(1.0)
-    await _press(world, CALM_SECONDS, rng)
+    await _send_requests(world, WARMUP_SECONDS, rng)
     world.outcomes.clear()
     calls = world.service.calls
-    scene.begin(world, hosts)
-    await _press(world, SCENE_SECONDS, rng)
+    scene.inject_fault(world, hosts)
+    await _send_requests(world, FAULT_SECONDS, rng)
     faults = world.service.faults
     faults.cut, faults.slow, faults.lose = set(), 1.0, 0.0
     refused = world.outcomes['short'] + world.outcomes['spent']
@@ -92,14 +94,14 @@
     page = decode_page(world.service.items[PAGE_KEY].content)
     stranded = max(0, page.find('acme').closed - world.delivered)
     return {
-        'overspent': float(max(0, world.delivered - BUDGET)),
+        'overspent': float(max(0, world.delivered - BUDGET_TOKENS)),
         'refused': refused / asked,
-        'stranded': stranded / BUDGET,
+        'stranded': stranded / BUDGET_TOKENS,
         'calls': spent,
     }
 
 
-def measure(scene: Scene, hosts: int) -> dict[str, float]:
+def measure(scene: Scenario, hosts: int) -> dict[str, float]:
     """Return the means of a scene over all seeds.
 
     Args:
@@ -110,7 +112,7 @@
         Tokens overspent, shares of requests refused and of the budget stranded,
         and steps of store calls for each request.
     """
-    runs = [run_virtually(_play(scene, hosts, seed)) for seed in SEEDS]
+    runs = [run_virtually(_run_scenario(scene, hosts, seed)) for seed in SEEDS]
     totals = Counter[str]()
     for run in runs:
         totals.update(run)
@@ -122,7 +124,7 @@
     print('| scene | routers | overspent | refused | stranded | store steps |')
     print('| --- | --- | --- | --- | --- | --- |')
     for hosts in (5, 31):
-        for scene in SCENES:
+        for scene in SCENARIOS:
             found = measure(scene, hosts)
             cells = [
                 f'{found["overspent"]:.0f}',
--- a/packages/bench/src/ibisport_bench/experiments/money.py
+++ b/packages/bench/src/ibisport_bench/experiments/money.py
@@ -18,52 +18,60 @@
 from ibisport_bench.experiments.money_model import (
     FixedSplit,
     Grants,
-    MakeWay,
     Outcome,
-    Run,
-    Scene,
+    Scenario,
+    Simulation,
+    StrategyFactory,
     WriteEach,
     ledger_clock,
 )
 from ibisport_core.internal.account import Grant
 from ibisport_router.internal.ledger import Ledger
 
-SEEDS = 2
-ROUTERS = (2, 4, 8)
-AMPLE = 3_000_000
-SCARCE = 200_000
-PARTITION = (60.0, 660.0)
-SHIFT = 300.0
+SEED_COUNT = 2
+ROUTER_COUNTS = (2, 4, 8)
+AMPLE_TOKENS = 3_000_000
+SCARCE_TOKENS = 200_000
+PARTITION_SECONDS = (60.0, 660.0)
+SHIFT_SECONDS = 300.0
 ADMISSIONS = 20_000
-MICROS = 1_000_000
-HORIZONS = (5.0, 600.0)
-_LEDGER_TIME = 'ibisport_router.internal.ledger.time'
+MICROSECONDS_PER_SECOND = 1_000_000
+HORIZONS_SECONDS = (5.0, 600.0)
+_LEDGER_TIME_PATH = 'ibisport_router.internal.ledger.time'
 
 
-def list_scenes(routers: int) -> list[Scene]:
+def list_scenarios(routers: int) -> list[Scenario]:
     """Return the scenes at a count of routers."""
     half = routers // 2
     return [
-        Scene('ample budget', routers, AMPLE),
-        Scene('near zero', routers, SCARCE),
-        Scene('near zero, demand moves', routers, SCARCE, shift=SHIFT),
-        Scene('half cut off', routers, AMPLE, cut=PARTITION, cut_off=half),
-        Scene('all cut off', routers, AMPLE, cut=PARTITION, cut_off=routers),
+        Scenario('ample budget', routers, AMPLE_TOKENS),
+        Scenario('near zero', routers, SCARCE_TOKENS),
+        Scenario(
+            'near zero, demand moves', routers, SCARCE_TOKENS, shift=SHIFT_SECONDS
+        ),
+        Scenario(
+            'half cut off', routers, AMPLE_TOKENS, cut=PARTITION_SECONDS, cut_off=half
+        ),
+        Scenario(
+            'all cut off', routers, AMPLE_TOKENS, cut=PARTITION_SECONDS, cut_off=routers
+        ),
     ]
 
 
-def run_ways(
-    scene: Scene, ways: dict[str, MakeWay], seed: int
+def run_strategies(
+    scene: Scenario, ways: dict[str, StrategyFactory], seed: int
 ) -> dict[str, list[Outcome]]:
     """Return the outcomes of every way, one for each seed."""
-    with patch(_LEDGER_TIME, ledger_clock()):
+    with patch(_LEDGER_TIME_PATH, ledger_clock()):
         return {
-            name: [Run(scene, way, seed + step).run() for step in range(SEEDS)]
+            name: [
+                Simulation(scene, way, seed + step).run() for step in range(SEED_COUNT)
+            ]
             for name, way in ways.items()
         }
 
 
-def format_row(scene: Scene, name: str, outcomes: list[Outcome]) -> list[str]:
+def format_row(scene: Scenario, name: str, outcomes: list[Outcome]) -> list[str]:
     """Return a table's row: sums over the seeds, shares of all requests."""
     asked = sum(one.asked for one in outcomes)
     refused = sum(one.refused for one in outcomes)
@@ -91,14 +99,14 @@
         charge = ledger.reserve(10)
         if charge is not None:
             ledger.end(charge, 10)
-    return (time.perf_counter() - started) / ADMISSIONS * MICROS
+    return (time.perf_counter() - started) / ADMISSIONS * MICROSECONDS_PER_SECOND
 
 
 def run_experiment(
     seed: int = 1,
     out: str = '',
-    routers: tuple[int, ...] = ROUTERS,
-    horizons: tuple[float, ...] = HORIZONS,
+    routers: tuple[int, ...] = ROUTER_COUNTS,
+    horizons: tuple[float, ...] = HORIZONS_SECONDS,
 ) -> None:
     """Run everything and print the tables.
 
@@ -108,7 +116,7 @@
         routers: Counts of routers.
         horizons: Seconds of demand that a grant should cover, each a way.
     """
-    ways: dict[str, MakeWay] = {
+    ways: dict[str, StrategyFactory] = {
         f'grants {horizon:.0f} s': partial(Grants, horizon=horizon)
         for horizon in horizons
     }
@@ -116,8 +124,8 @@
     figures = []
     rows = []
     for count in routers:
-        for scene in list_scenes(count):
-            for name, outcomes in run_ways(scene, ways, seed).items():
+        for scene in list_scenarios(count):
+            for name, outcomes in run_strategies(scene, ways, seed).items():
                 rows.append(format_row(scene, name, outcomes))
                 figures += [
                     {'scene': asdict(scene), 'way': name, **asdict(one)}
@@ -133,7 +141,7 @@
         'writes a request',
         'idle share',
     )
-    print_table(f'Seeds {seed} to {seed + SEEDS - 1}', columns, rows)
+    print_table(f'Seeds {seed} to {seed + SEED_COUNT - 1}', columns, rows)
     admission = measure_admission()
     print(f'\none admission and its end: {admission:.1f} microseconds')
     if out:
--- a/packages/bench/src/ibisport_bench/experiments/money_model.py
+++ b/packages/bench/src/ibisport_bench/experiments/money_model.py
@@ -20,13 +20,13 @@
 )
 from ibisport_router.internal.ledger import Charge, Ledger
 
-PATIENCE = 10.0
-RETRY = 0.5
-SETTLE_EVERY = 2.0
-IDLE_AFTER = 60.0
+MAX_WAIT_SECONDS = 10.0
+RETRY_BACKOFF_SECONDS = 0.5
+SETTLE_INTERVAL_SECONDS = 2.0
+IDLE_AFTER_SECONDS = 60.0
 PROMPT_TOKENS = 60
-MOST_TOKENS = 200
-LEAST_TOKENS = 20
+MAX_ANSWER_TOKENS = 200
+MIN_ANSWER_TOKENS = 20
 
 
 class Clock:
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """What happens to the routers of one run.
 
     Attributes:
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True)
-class Bookkeeping:
+class Totals:
     """The one budget as an onlooker sees it, and the store's counts."""
 
     paid: int
@@ -104,7 +104,7 @@
     cut_off: set[int] = field(default_factory=set)
 
 
-class Way(Protocol):
+class Strategy(Protocol):
     """A way to spend one budget from several routers."""
 
     def admit(self, router: int, tokens: int) -> Charge | None:
@@ -126,11 +126,11 @@
 class FixedSplit:
     """Each router gets an equal part at the start; nothing is moved."""
 
-    def __init__(self, scene: Scene, book: Bookkeeping) -> None:
+    def __init__(self, scene: Scenario, book: Totals) -> None:
         """Split the budget."""
         part = scene.budget // scene.routers
         self._ledgers = [_make_ledger(part) for _ in range(scene.routers)]
-        self._book = book
+        self._totals = book
         book.writes += scene.routers
 
     def admit(self, router: int, tokens: int) -> Charge | None:
@@ -148,8 +148,8 @@
     def tick(self, router: int) -> None:
         """Settle what changed."""
         ledger = self._ledgers[router]
-        if not ledger.is_settled and router not in self._book.cut_off:
-            self._book.writes += 1
+        if not ledger.is_settled and router not in self._totals.cut_off:
+            self._totals.writes += 1
             granted = ledger.view().granted
             ledger.adopt(ledger.make_grant(Grant(), granted))
 
@@ -161,36 +161,36 @@
 class WriteEach:
     """Every request reserves and settles in the store."""
 
-    def __init__(self, scene: Scene, book: Bookkeeping) -> None:
+    def __init__(self, scene: Scenario, book: Totals) -> None:
         """Keep one ledger, in the store."""
         self._ledger = _make_ledger(scene.budget)
-        self._book = book
-        self._late: list[tuple[int, Charge, int]] = []
+        self._totals = book
+        self._deferred: list[tuple[int, Charge, int]] = []
 
     def admit(self, router: int, tokens: int) -> Charge | None:
         """Reserve in the store, if it is in reach."""
-        if router in self._book.cut_off:
+        if router in self._totals.cut_off:
             return None
         charge = self._ledger.reserve(tokens)
-        self._book.writes += charge is not None
+        self._totals.writes += charge is not None
         return charge
 
     def may_free(self, router: int, tokens: int) -> bool:
         """Whether any request in flight may free enough."""
-        reachable = router not in self._book.cut_off
+        reachable = router not in self._totals.cut_off
         return reachable and self._ledger.covers_soon(tokens)
 
     def end(self, router: int, charge: Charge, tokens: int) -> None:
         """Settle in the store, at once or when it is in reach again."""
-        if router in self._book.cut_off:
-            self._late.append((router, charge, tokens))
+        if router in self._totals.cut_off:
+            self._deferred.append((router, charge, tokens))
             return
-        self._book.writes += 1
+        self._totals.writes += 1
         self._ledger.end(charge, tokens)
 
     def tick(self, router: int) -> None:
         """Settle what waited for the store."""
-        late, self._late = self._late, []
+        late, self._deferred = self._deferred, []
         for one in late:
             self.end(*one)
 
@@ -202,7 +202,7 @@
 class Grants:
     """The shipped way: grants drawn, spent locally, settled and returned."""
 
-    def __init__(self, scene: Scene, book: Bookkeeping, horizon: float = 5.0) -> None:
+    def __init__(self, scene: Scenario, book: Totals, horizon: float = 5.0) -> None:
         """Start without grants.
 
         Args:
@@ -212,7 +212,7 @@
         """
         self._account = Account(topped_up=scene.budget)
         self._ledgers = [Ledger('w', 'b') for _ in range(scene.routers)]
-        self._book = book
+        self._totals = book
         self._horizon = horizon
 
     def admit(self, router: int, tokens: int) -> Charge | None:
@@ -220,7 +220,7 @@
         ledger = self._ledgers[router]
         ledger.note_demand(tokens)
         charge = ledger.reserve(tokens)
-        if charge is not None or router in self._book.cut_off:
+        if charge is not None or router in self._totals.cut_off:
             return charge
         if not self._draw(router, tokens):
             for peer in range(len(self._ledgers)):
@@ -238,14 +238,14 @@
 
     def tick(self, router: int) -> None:
         """Settle, and give back what lies idle."""
-        if router in self._book.cut_off:
+        if router in self._totals.cut_off:
             return
         ledger = self._ledgers[router]
         now = ledger_clock().now
-        idle = ledger.idle_since < now - IDLE_AFTER
+        idle = ledger.idle_since < now - IDLE_AFTER_SECONDS
         surplus = choose_return(ledger.view(), self._horizon, idle, False)
         if surplus > 0:
-            self._give_back(router, surplus)
+            self._return_tokens(router, surplus)
         elif not ledger.is_settled:
             name = f'session-{router}'
             view = ledger.view()
@@ -264,14 +264,14 @@
         return isinstance(chosen, Draw)
 
     def _recall(self, router: int, peer: int) -> None:
-        if peer == router or peer in self._book.cut_off:
+        if peer == router or peer in self._totals.cut_off:
             return
         view = self._ledgers[peer].view()
         spare = choose_return(view, self._horizon, False, True)
         if spare:
-            self._give_back(peer, spare)
+            self._return_tokens(peer, spare)
 
-    def _give_back(self, router: int, tokens: int) -> None:
+    def _return_tokens(self, router: int, tokens: int) -> None:
         ledger = self._ledgers[router]
         kept = ledger.view().granted - tokens
         if ledger.withhold(kept):
@@ -279,16 +279,16 @@
 
     def _write(self, router: int, granted: int) -> None:
         name = f'session-{router}'
-        grant = self._ledgers[router].make_grant(self._find(router), granted)
+        grant = self._ledgers[router].make_grant(self._find_grant(router), granted)
         self._account = self._account.with_grant(name, grant)
         self._ledgers[router].adopt(grant)
-        self._book.writes += 1
+        self._totals.writes += 1
 
-    def _find(self, router: int) -> Grant:
+    def _find_grant(self, router: int) -> Grant:
         return self._account.grants.get(f'session-{router}', Grant())
 
 
-MakeWay = Callable[[Scene, Bookkeeping], Way]
+StrategyFactory = Callable[[Scenario, Totals], Strategy]
 _CLOCK = Clock()
 
 
@@ -297,10 +297,10 @@
     return _CLOCK
 
 
-class Run:
+class Simulation:
     """One run of a scene."""
 
-    def __init__(self, scene: Scene, make_way: MakeWay, seed: int) -> None:
+    def __init__(self, scene: Scenario, make_way: StrategyFactory, seed: int) -> None:
         """Prepare a run.
 
         Args:
@@ -310,13 +310,13 @@
         """
         _CLOCK.now = 0
         self._scene = scene
-        self._book = Bookkeeping(scene.budget)
-        self._way = make_way(scene, self._book)
+        self._totals = Totals(scene.budget)
+        self._strategy = make_way(scene, self._totals)
         self._random = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         self._outcome = Outcome()
-        self._idle: list[int] = []
+        self._idle_samples: list[int] = []
 
     def run(self) -> Outcome:
         """Run to the end of all requests and return the counts."""
@@ -326,10 +326,10 @@
             _CLOCK.now = at
             act()
         outcome = self._outcome
-        outcome.writes = self._book.writes
-        outcome.spent = self._book.spent
-        outcome.overspent = max(0, self._book.spent - self._book.paid)
-        outcome.idle = sum(self._idle) / len(self._idle)
+        outcome.writes = self._totals.writes
+        outcome.spent = self._totals.spent
+        outcome.overspent = max(0, self._totals.spent - self._totals.paid)
+        outcome.idle = sum(self._idle_samples) / len(self._idle_samples)
         return outcome
 
     def _schedule_all(self) -> None:
@@ -338,25 +338,25 @@
         while at < scene.seconds:
             at += self._random.expovariate(scene.rate)
             self._schedule(at, self._make_request(at))
-        for number in range(int(scene.seconds / SETTLE_EVERY)):
-            self._schedule(number * SETTLE_EVERY, self._tick)
+        for number in range(int(scene.seconds / SETTLE_INTERVAL_SECONDS)):
+            self._schedule(number * SETTLE_INTERVAL_SECONDS, self._tick)
         start, end = scene.cut
         cut = set(range(scene.cut_off))
-        self._schedule(start, lambda: self._book.cut_off.update(cut))
-        self._schedule(end, self._book.cut_off.clear)
+        self._schedule(start, lambda: self._totals.cut_off.update(cut))
+        self._schedule(end, self._totals.cut_off.clear)
 
     def _schedule(self, at: float, act: Callable[[], None]) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), act))
 
     def _make_request(self, at: float) -> Callable[[], None]:
         router = self._choose_router(at)
-        answer = self._random.randint(LEAST_TOKENS, MOST_TOKENS)
+        answer = self._random.randint(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS)
         seconds = self._random.uniform(0.5, 4)
         spent = PROMPT_TOKENS + answer
 
         def ask() -> None:
             self._outcome.asked += 1
-            self._admit(router, spent, seconds, at + PATIENCE)
+            self._admit(router, spent, seconds, at + MAX_WAIT_SECONDS)
 
         return ask
 
@@ -369,33 +369,35 @@
         return 0 if at < scene.shift else scene.routers - 1
 
     def _admit(self, router: int, spent: int, seconds: float, until: float) -> None:
-        wanted = PROMPT_TOKENS + MOST_TOKENS
-        charge = self._way.admit(router, wanted)
+        wanted = PROMPT_TOKENS + MAX_ANSWER_TOKENS
+        charge = self._strategy.admit(router, wanted)
         if charge is not None:
-            self._book.reserved += wanted
+            self._totals.reserved += wanted
             self._schedule(
                 _CLOCK.now + seconds, lambda: self._end(router, charge, spent)
             )
-        elif _CLOCK.now + RETRY < until and self._way.may_free(router, wanted):
+        elif _CLOCK.now + RETRY_BACKOFF_SECONDS < until and self._strategy.may_free(
+            router, wanted
+        ):
             self._schedule(
-                _CLOCK.now + RETRY,
+                _CLOCK.now + RETRY_BACKOFF_SECONDS,
                 lambda: self._admit(router, spent, seconds, until),
             )
         else:
-            book = self._book
+            book = self._totals
             unspent = book.paid - book.spent - book.reserved
             self._outcome.refused += 1
             self._outcome.falsely += unspent >= wanted
 
     def _end(self, router: int, charge: Charge, spent: int) -> None:
-        self._book.reserved -= PROMPT_TOKENS + MOST_TOKENS
-        self._book.spent += spent
-        self._way.end(router, charge, spent)
+        self._totals.reserved -= PROMPT_TOKENS + MAX_ANSWER_TOKENS
+        self._totals.spent += spent
+        self._strategy.end(router, charge, spent)
 
     def _tick(self) -> None:
         for router in range(self._scene.routers):
-            self._way.tick(router)
-        self._idle.append(self._way.count_idle())
+            self._strategy.tick(router)
+        self._idle_samples.append(self._strategy.count_idle())
 
 
 def _make_ledger(granted: int) -> Ledger:
--- a/packages/bench/src/ibisport_bench/experiments/neighbours.py
+++ b/packages/bench/src/ibisport_bench/experiments/neighbours.py
@@ -22,13 +22,13 @@
 
 _LARGE = 'large'
 _SMALL = ('small-0', 'small-1', 'small-2', 'small-3')
-_TOKENS = 16
-_BUDGET = 100_000_000
-_THREADS = 64
+_ANSWER_TOKENS = 16
+_BUDGET_TOKENS = 100_000_000
+_SMALL_THREADS = 64
 _LARGE_THREADS = 800
-_TIMEOUT = 30.0
+_TIMEOUT_SECONDS = 30.0
 _DEADLINE_SECONDS = 10.0
-_MILLISECONDS = 1000.0
+_MS_PER_SECOND = 1000.0
 _OK = 200
 
 
@@ -51,11 +51,11 @@
 class Outcome:
     """What a workspace got in one run; first tokens in milliseconds."""
 
-    first: list[float] = field(default_factory=list)
-    codes: Counter[int] = field(default_factory=Counter)
+    first_token_ms: list[float] = field(default_factory=list)
+    status_counts: Counter[int] = field(default_factory=Counter)
 
 
-class Neighbours:
+class ArrivalSender:
     """Sends the arrivals of one run at a site."""
 
     def __init__(self, site: Site) -> None:
@@ -70,7 +70,7 @@
         # A pool of its own, so that the callers of the small workspaces do not
         # wait behind those of the large one in this program.
         with (
-            ThreadPoolExecutor(_THREADS) as small,
+            ThreadPoolExecutor(_SMALL_THREADS) as small,
             ThreadPoolExecutor(_LARGE_THREADS) as large,
         ):
             for arrival in arrivals:
@@ -84,22 +84,22 @@
         routers = self._site.routers
         router = routers[arrival.number % len(routers)]
         due = started + arrival.at
-        prompt = f'{arrival.workspace} {arrival.number} answer_tokens={_TOKENS}'
+        prompt = f'{arrival.workspace} {arrival.number} answer_tokens={_ANSWER_TOKENS}'
         answer = self._http.request(
             'POST',
             f'{router.url}{CHAT_PATH}',
-            body=make_chat(MODEL, prompt, stream=True, max_tokens=_TOKENS),
+            body=make_chat(MODEL, prompt, stream=True, max_tokens=_ANSWER_TOKENS),
             headers={
                 'Authorization': f'Bearer key-{arrival.workspace}',
                 'X-Deadline': str(due + _DEADLINE_SECONDS),
             },
-            timeout=_TIMEOUT,
+            timeout=_TIMEOUT_SECONDS,
             preload_content=False,
         )
         answer.read1(1)
         if answer.status == _OK:
-            outcome.first.append((time.time() - due) * _MILLISECONDS)
-        outcome.codes[answer.status] += 1
+            outcome.first_token_ms.append((time.time() - due) * _MS_PER_SECOND)
+        outcome.status_counts[answer.status] += 1
         answer.drain_conn()
         answer.release_conn()
 
@@ -120,7 +120,7 @@
     drawn = [
         (at, workspace)
         for workspace, rate in rates.items()
-        for at in _draw_times(rng, seconds, rate)
+        for at in _draw_arrival_times(rng, seconds, rate)
     ]
     return [
         Arrival(at, workspace, number)
@@ -144,12 +144,12 @@
         times: Multiples of a small one's rate that the large one sends.
         engines: Engines of 8 slots, 20 ms a token.
     """
-    plans = tuple(WorkspacePlan(name, _BUDGET) for name in (*_SMALL, _LARGE))
+    plans = tuple(WorkspacePlan(name, _BUDGET_TOKENS) for name in (*_SMALL, _LARGE))
     plan = SitePlan(engines=engines, services=0, token_ms=20, workspaces=plans)
     site = Site(plan, Path(tempfile.mkdtemp(prefix='ibisport-neighbours-')))
     try:
         site.start()
-        neighbours = Neighbours(site)
+        neighbours = ArrivalSender(site)
         neighbours.run(make_arrivals(np.random.default_rng(0), 5, small_rate, 1))
         _print_runs(neighbours, seed, seconds, small_rate, times)
     finally:
@@ -157,7 +157,7 @@
 
 
 def _print_runs(
-    neighbours: Neighbours,
+    neighbours: ArrivalSender,
     seed: int,
     seconds: float,
     small_rate: float,
@@ -171,25 +171,25 @@
         outcomes = neighbours.run(arrivals)
         small = Outcome()
         for workspace in _SMALL:
-            small.first += outcomes[workspace].first
-            small.codes += outcomes[workspace].codes
+            small.first_token_ms += outcomes[workspace].first_token_ms
+            small.status_counts += outcomes[workspace].status_counts
         _print_outcome(multiple, 'small', small)
         _print_outcome(multiple, _LARGE, outcomes[_LARGE])
 
 
 def _print_outcome(multiple: float, who: str, outcome: Outcome) -> None:
-    if not outcome.codes:
+    if not outcome.status_counts:
         return
     shown = 'none'
-    if outcome.first:
-        shares = np.percentile(outcome.first, [50, 95, 99])
+    if outcome.first_token_ms:
+        shares = np.percentile(outcome.first_token_ms, [50, 95, 99])
         shown = '/'.join(f'{share:.0f}' for share in shares)
-    served = len(outcome.first)
-    codes = dict(outcome.codes)
+    served = len(outcome.first_token_ms)
+    codes = dict(outcome.status_counts)
     print(f'| {multiple}x | {who} | {shown} | {served} | {codes} |', flush=True)
 
 
-def _draw_times(
+def _draw_arrival_times(
     rng: np.random.Generator, seconds: float, rate: float
 ) -> Iterator[float]:
     at = 0.0
