--- a/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgetrolls.py
@@ -1,7 +1,7 @@
-"""What 30 routers refuse that are stopped and started in turn, twice, beside a flood.
+"""Refusals during two rolling restarts of 30 routers under load.
 
-The budgets are nearly whole, so each refusal is a false one. Components are the shipped
-ones; time is virtual and all is seeded. ``python -m
+The budgets are nearly unspent, so every refusal is a false one. Runs the shipped
+components in virtual time with fixed seeds. ``python -m
 ibisport_bench.experiments.budgetrolls`` prints the table.
 """
 
@@ -25,29 +25,31 @@
 ROUND_SECONDS = 15.0
 RECOVERY_SECONDS = 12.0
 STOP_INTERVAL_SECONDS = 0.25
-# From the signal to the end of the process: at once if nothing runs any more, or with
-# the last stream.
+# Minimum and maximum time from the stop signal to the end of the process, which exits
+# at once if it serves no requests, or else with its last stream.
 SHUTDOWN_SECONDS = (3.3, 7.0)
-# The balancer sends nothing more after two misses.
+# The load balancer stops sending requests after two failed readiness checks.
 READINESS_DELAY_SECONDS = 2.0
-# A call takes 10 ms. Three hosts of four have a link of 5 Mbit/s; names of hosts are a
-# third as long here as at large sites, and so is the page.
+# Factor on the duration of store calls: 10 ms instead of 4.
 STORE_SLOWDOWN = 2.5
+# Three of four hosts have a 5 Mbit/s link to the store. The rate is scaled to the page:
+# host names, and so the page, are a third as long here as at large sites.
 LINK_BYTES_PER_SECOND = 200_000.0
+# Every fourth host has a link without a bandwidth limit.
 FAST_LINK_STRIDE = 4
 SEEDS = (1, 2, 3, 4)
 
 
 @dataclass(frozen=True, slots=True)
 class RollingRestartReport:
-    """What one play showed.
+    """Figures of one simulation.
 
     Attributes:
-        refused: Share of the requests that were refused.
+        refused: Refused share of the requests.
         overspent: Tokens spent beyond the budgets.
-        stranded: Share of the budgets that counts as spent and was not.
-        calls: Calls to the store for each request.
-        page_bytes: Size of the shared page before the first stop.
+        stranded: Share of the budgets that is counted as spent but was not spent.
+        calls: Store calls per request.
+        page_bytes: Size of the shared budget page before the first stop.
     """
 
     refused: float
@@ -58,7 +60,7 @@
 
 
 class _Simulation:
-    """One play: the world, its callers and the routers that leave."""
+    """The simulated routers, their callers and the rolling restarts."""
 
     def __init__(self, seed: int) -> None:
         self.world = BudgetWorld(HOSTS, BUDGET_TOKENS, seed, WORKSPACES)
@@ -66,7 +68,7 @@
         self._stopped_at: dict[int, float] = {}
 
     async def send_requests(self, seconds: float) -> None:
-        """Send requests to routers that the balancer takes for ready."""
+        """Send requests to the routers that the load balancer considers ready."""
         rng = self._rng
         for _ in range(int(seconds * REQUESTS_PER_SECOND)):
             self.world.ask(
@@ -79,12 +81,12 @@
             await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
     async def restart_all(self) -> None:
-        """Stop all routers, one after another, and start each again."""
-        rolls = []
+        """Stop and start all routers in turn; their shutdowns overlap."""
+        restarts = []
         for number in range(HOSTS):
-            rolls.append(asyncio.create_task(self._restart(number)))
+            restarts.append(asyncio.create_task(self._restart(number)))
             await asyncio.sleep(STOP_INTERVAL_SECONDS)
-        await asyncio.gather(*rolls)
+        await asyncio.gather(*restarts)
 
     async def _restart(self, number: int) -> None:
         self._stopped_at[number] = asyncio.get_running_loop().time()
@@ -93,16 +95,18 @@
 
     def _list_ready(self) -> list[int]:
         oldest = asyncio.get_running_loop().time() - READINESS_DELAY_SECONDS
-        running = [one for one in range(HOSTS) if self.world.takes(one)]
-        ready = [one for one in running if self._stopped_at.get(one, oldest) >= oldest]
+        running = [host for host in range(HOSTS) if self.world.takes(host)]
+        ready = [
+            host for host in running if self._stopped_at.get(host, oldest) >= oldest
+        ]
         return ready or running
 
 
 async def _simulate(seed: int) -> RollingRestartReport:
-    # The product spreads its pauses by the module's own generator.
+    # The routers draw their jitter from the module-level random generator.
     random.seed(seed)
-    play = _Simulation(seed)
-    world, service = play.world, play.world.service
+    simulation = _Simulation(seed)
+    world, service = simulation.world, simulation.world.service
     service.faults.slow = STORE_SLOWDOWN
     service.links = {
         name: LINK_BYTES_PER_SECOND
@@ -111,45 +115,50 @@
     }
     world.start_all()
     await asyncio.sleep(1.0)
-    await play.send_requests(WARMUP_SECONDS)
+    await simulation.send_requests(WARMUP_SECONDS)
     page_bytes = len(service.items[PAGE_KEY].content)
     world.outcomes.clear()
-    steps = service.calls
+    messages = service.calls
     for _ in range(ROUNDS):
-        await asyncio.gather(play.restart_all(), play.send_requests(ROUND_SECONDS))
-    asked = world.outcomes.total()
+        await asyncio.gather(
+            simulation.restart_all(), simulation.send_requests(ROUND_SECONDS)
+        )
+    requests = world.outcomes.total()
     refused = world.outcomes['short'] + world.outcomes['spent']
-    # The stand-in counts the way there and the way back.
-    calls = (service.calls - steps) / 2
+    # The in-memory store counts the request and the response of each call.
+    calls = (service.calls - messages) / 2
     await asyncio.sleep(RECOVERY_SECONDS)
     return RollingRestartReport(
-        refused=refused / asked,
+        refused=refused / requests,
         overspent=world.overspent,
         stranded=world.count_stranded() / (BUDGET_TOKENS * WORKSPACES),
-        calls=calls / asked,
+        calls=calls / requests,
         page_bytes=page_bytes,
     )
 
 
 def simulate_rolling_restarts(seed: int) -> RollingRestartReport:
-    """Play one roll of all routers, and a second one after it.
+    """Simulate two rolling restarts of all routers, the second after the first.
 
     Args:
-        seed: Of all that is drawn.
+        seed: Seed of every random choice.
+
+    Returns:
+        The figures of the simulation.
     """
     report: RollingRestartReport = run_virtually(_simulate(seed))
     return report
 
 
 def main() -> None:
-    """Print the table for the seeds named, or a few."""
+    """Print a table for the seeds in the arguments, or for the default seeds."""
     print('| seed | refused | overspent | stranded | store calls | page bytes |')
     print('| --- | --- | --- | --- | --- | --- |')
-    for seed in [int(word) for word in sys.argv[1:]] or SEEDS:
-        found = simulate_rolling_restarts(seed)
+    for seed in [int(argument) for argument in sys.argv[1:]] or SEEDS:
+        report = simulate_rolling_restarts(seed)
         print(
-            f'| {seed} | {found.refused:.4f} | {found.overspent} |'
-            f' {found.stranded:.4f} | {found.calls:.2f} | {found.page_bytes} |',
+            f'| {seed} | {report.refused:.4f} | {report.overspent} |'
+            f' {report.stranded:.4f} | {report.calls:.2f} | {report.page_bytes} |',
             flush=True,
         )
 
--- a/packages/bench/src/ibisport_bench/experiments/budgets.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgets.py
@@ -1,7 +1,7 @@
-"""What budgets over many routers refuse, strand and cost, scene by scene.
+"""Refusals, stranded tokens and store calls of shared budgets under faults.
 
-The ledger, the page and the keeper are the shipped ones; time is virtual and all is
-seeded. ``python -m ibisport_bench.experiments.budgets`` prints the table.
+Runs the shipped ledger, budget page and budget synchronizer in virtual time with
+fixed seeds. ``python -m ibisport_bench.experiments.budgets`` prints the table.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
 
 BUDGET_TOKENS = 4_000_000
-# Mean tokens of a request; sizes are drawn from these.
+# Each request reserves a randomly chosen one of these sizes and spends 90 % of it.
 REQUEST_TOKENS = (500, 1_000, 2_000, 9_000)
 REQUESTS_PER_SECOND = 30
 WARMUP_SECONDS = 20
@@ -27,14 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Something that happens while callers go on."""
+    """A fault that starts while callers keep sending requests.
+
+    Attributes:
+        name: Label in the printed table.
+        inject_fault: Starts the fault, given the simulated routers and their count.
+    """
 
     name: str
     inject_fault: Callable[[BudgetWorld, int], None]
 
 
 def _do_nothing(world: BudgetWorld, hosts: int) -> None:
-    """Leave all as it is."""
+    """Inject no fault."""
 
 
 def _disconnect_all(world: BudgetWorld, hosts: int) -> None:
@@ -74,7 +79,7 @@
         await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
 
-async def _run_scenario(scene: Scenario, hosts: int, seed: int) -> dict[str, float]:
+async def _run_scenario(scenario: Scenario, hosts: int, seed: int) -> dict[str, float]:
     random.seed(seed)
     rng = random.Random(seed)
     world = BudgetWorld(hosts, BUDGET_TOKENS, seed)
@@ -82,37 +87,38 @@
     await asyncio.sleep(1.0)
     await _send_requests(world, WARMUP_SECONDS, rng)
     world.outcomes.clear()
-    calls = world.service.calls
-    scene.inject_fault(world, hosts)
+    calls_before = world.service.calls
+    scenario.inject_fault(world, hosts)
     await _send_requests(world, FAULT_SECONDS, rng)
     faults = world.service.faults
     faults.cut, faults.slow, faults.lose = set(), 1.0, 0.0
     refused = world.outcomes['short'] + world.outcomes['spent']
-    asked = max(1, world.outcomes.total())
-    spent = (world.service.calls - calls) / asked
+    requests = max(1, world.outcomes.total())
+    calls = (world.service.calls - calls_before) / requests
     await asyncio.sleep(RECOVERY_SECONDS)
     page = decode_page(world.service.items[PAGE_KEY].content)
     stranded = max(0, page.find('acme').closed - world.delivered)
     return {
         'overspent': float(max(0, world.delivered - BUDGET_TOKENS)),
-        'refused': refused / asked,
+        'refused': refused / requests,
         'stranded': stranded / BUDGET_TOKENS,
-        'calls': spent,
+        'calls': calls,
     }
 
 
-def measure(scene: Scenario, hosts: int) -> dict[str, float]:
-    """Return the means of a scene over all seeds.
+def measure(scenario: Scenario, hosts: int) -> dict[str, float]:
+    """Run a scenario with every seed and return the mean figures.
 
     Args:
-        scene: What happens.
-        hosts: How many routers share the budget.
+        scenario: The fault to inject.
+        hosts: Number of routers that share the budget.
 
     Returns:
-        Tokens overspent, shares of requests refused and of the budget stranded,
-        and steps of store calls for each request.
+        ``overspent`` in tokens, ``refused`` as a share of the requests,
+        ``stranded`` as a share of the budget, and ``calls``: messages to and from
+        the store per request.
     """
-    runs = [run_virtually(_run_scenario(scene, hosts, seed)) for seed in SEEDS]
+    runs = [run_virtually(_run_scenario(scenario, hosts, seed)) for seed in SEEDS]
     totals = Counter[str]()
     for run in runs:
         totals.update(run)
@@ -120,19 +126,19 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print one table row per router count and scenario."""
     print('| scene | routers | overspent | refused | stranded | store steps |')
     print('| --- | --- | --- | --- | --- | --- |')
     for hosts in (5, 31):
-        for scene in SCENARIOS:
-            found = measure(scene, hosts)
+        for scenario in SCENARIOS:
+            means = measure(scenario, hosts)
             cells = [
-                f'{found["overspent"]:.0f}',
-                f'{found["refused"]:.4f}',
-                f'{found["stranded"]:.4f}',
-                f'{found["calls"]:.2f}',
+                f'{means["overspent"]:.0f}',
+                f'{means["refused"]:.4f}',
+                f'{means["stranded"]:.4f}',
+                f'{means["calls"]:.2f}',
             ]
-            print(f'| {scene.name} | {hosts} |', ' | '.join(cells), '|')
+            print(f'| {scenario.name} | {hosts} |', ' | '.join(cells), '|')
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/experiments/money.py
+++ b/packages/bench/src/ibisport_bench/experiments/money.py
@@ -1,4 +1,4 @@
-"""Overspend, false refusals, idle tokens and store writes of ways to spend.
+"""Overspend, false refusals, idle tokens and store writes of budget strategies.
 
 ``python -m ibisport_bench.experiments.money --seed 1`` prints tables and, with
 ``--out``, writes the figures as JSON. Compares the shipped grants with a fixed
@@ -41,7 +41,7 @@
 
 
 def list_scenarios(routers: int) -> list[Scenario]:
-    """Return the scenes at a count of routers."""
+    """Return the scenarios for a number of routers."""
     half = routers // 2
     return [
         Scenario('ample budget', routers, AMPLE_TOKENS),
@@ -59,39 +59,40 @@
 
 
 def run_strategies(
-    scene: Scenario, ways: dict[str, StrategyFactory], seed: int
+    scenario: Scenario, strategies: dict[str, StrategyFactory], seed: int
 ) -> dict[str, list[Outcome]]:
-    """Return the outcomes of every way, one for each seed."""
+    """Run every strategy and return its outcomes, one per seed."""
     with patch(_LEDGER_TIME_PATH, ledger_clock()):
         return {
             name: [
-                Simulation(scene, way, seed + step).run() for step in range(SEED_COUNT)
+                Simulation(scenario, strategy, seed + step).run()
+                for step in range(SEED_COUNT)
             ]
-            for name, way in ways.items()
+            for name, strategy in strategies.items()
         }
 
 
-def format_row(scene: Scenario, name: str, outcomes: list[Outcome]) -> list[str]:
-    """Return a table's row: sums over the seeds, shares of all requests."""
-    asked = sum(one.asked for one in outcomes)
-    refused = sum(one.refused for one in outcomes)
-    falsely = sum(one.falsely for one in outcomes)
-    writes = sum(one.writes for one in outcomes)
-    idle = sum(one.idle for one in outcomes) / len(outcomes)
+def format_row(scenario: Scenario, name: str, outcomes: list[Outcome]) -> list[str]:
+    """Return a table row: sums over the seeds, and shares of all requests."""
+    requests = sum(outcome.asked for outcome in outcomes)
+    refused = sum(outcome.refused for outcome in outcomes)
+    falsely_refused = sum(outcome.falsely for outcome in outcomes)
+    writes = sum(outcome.writes for outcome in outcomes)
+    idle = sum(outcome.idle for outcome in outcomes) / len(outcomes)
     return [
-        scene.name,
-        str(scene.routers),
+        scenario.name,
+        str(scenario.routers),
         name,
-        str(sum(one.overspent for one in outcomes)),
-        f'{refused / asked:.4f}',
-        f'{falsely / asked:.4f}',
-        f'{writes / asked:.3f}',
-        f'{idle / scene.budget:.4f}',
+        str(sum(outcome.overspent for outcome in outcomes)),
+        f'{refused / requests:.4f}',
+        f'{falsely_refused / requests:.4f}',
+        f'{writes / requests:.3f}',
+        f'{idle / scenario.budget:.4f}',
     ]
 
 
 def measure_admission() -> float:
-    """Return the microseconds of one reservation and its end, without a draw."""
+    """Return the microseconds that reserving and settling take, without a draw."""
     ledger = Ledger('w', 'b')
     ledger.adopt(Grant(granted=ADMISSIONS * 10))
     started = time.perf_counter()
@@ -108,28 +109,28 @@
     routers: tuple[int, ...] = ROUTER_COUNTS,
     horizons: tuple[float, ...] = HORIZONS_SECONDS,
 ) -> None:
-    """Run everything and print the tables.
+    """Run all scenarios with all strategies and print the table.
 
     Args:
-        seed: First seed; each figure sums up two in a row.
-        out: File for the figures as JSON; empty for none.
-        routers: Counts of routers.
-        horizons: Seconds of demand that a grant should cover, each a way.
+        seed: First seed; each figure covers this seed and the next.
+        out: Path of a JSON file for the figures; empty for none.
+        routers: Numbers of routers to simulate.
+        horizons: Seconds of demand that a grant covers; each value is a strategy.
     """
-    ways: dict[str, StrategyFactory] = {
+    strategies: dict[str, StrategyFactory] = {
         f'grants {horizon:.0f} s': partial(Grants, horizon=horizon)
         for horizon in horizons
     }
-    ways |= {'fixed split': FixedSplit, 'write each': WriteEach}
+    strategies |= {'fixed split': FixedSplit, 'write each': WriteEach}
     figures = []
     rows = []
     for count in routers:
-        for scene in list_scenarios(count):
-            for name, outcomes in run_strategies(scene, ways, seed).items():
-                rows.append(format_row(scene, name, outcomes))
+        for scenario in list_scenarios(count):
+            for name, outcomes in run_strategies(scenario, strategies, seed).items():
+                rows.append(format_row(scenario, name, outcomes))
                 figures += [
-                    {'scene': asdict(scene), 'way': name, **asdict(one)}
-                    for one in outcomes
+                    {'scene': asdict(scenario), 'way': name, **asdict(outcome)}
+                    for outcome in outcomes
                 ]
     columns = (
         'scene',
--- a/packages/bench/src/ibisport_bench/experiments/money_model.py
+++ b/packages/bench/src/ibisport_bench/experiments/money_model.py
@@ -1,7 +1,8 @@
-"""Routers that spend one budget, in virtual time, over a store in memory.
+"""Simulation of routers that spend one budget, in virtual time.
 
-The ledger, the account and the decisions are the shipped ones; the bank's calls
-to the store are written down here without threads and without a network.
+The ledger, the account and the decisions on grants are the shipped ones. The calls of
+the shipped bank to the store are reimplemented here in memory, without threads and
+without a network.
 """
 
 import heapq
@@ -30,7 +31,7 @@
 
 
 class Clock:
-    """Virtual time; stands for the module ``time`` in the ledger."""
+    """Virtual clock that replaces the module ``time`` in the ledger."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -43,19 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What happens to the routers of one run.
+    """Load and faults of one simulation.
 
     Attributes:
-        name: What it shows.
-        routers: Count of routers.
+        name: Label in the printed table.
+        routers: Number of routers.
         budget: Tokens paid in at the start.
-        seconds: Length of the run.
-        rate: Requests a second at all routers together.
-        skew: Share of the requests that comes to the first router; the rest is
-            spread over the others.
+        seconds: Duration of the arrivals.
+        rate: Requests per second over all routers.
+        skew: Share of the requests that goes to the first router; the rest is spread
+            over the other routers.
         cut: Start and end of the partition from the store, in seconds.
-        cut_off: Count of routers that are cut off, the first ones.
-        shift: Time from which the last router has the first one's share.
+        cut_off: Number of routers that the partition affects, from the first on.
+        shift: Seconds after which the last router takes over the first one's share.
     """
 
     name: str
@@ -71,17 +72,18 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """Counts of one run.
+    """Counts of one simulation.
 
     Attributes:
         asked: Requests.
-        refused: Requests that were refused.
-        falsely: Those refused while the budget as a whole had enough unspent.
+        refused: Refused requests.
+        falsely: Requests refused although the budget as a whole had enough tokens,
+            neither spent nor reserved.
         writes: Writes to the store.
         spent: Tokens spent by all routers.
-        overspent: Tokens spent beyond what was paid in.
-        idle: Tokens unspent and unreserved at routers, mean over the run's end
-            of each settlement period.
+        overspent: Tokens spent beyond the tokens paid in.
+        idle: Tokens at routers that are neither spent nor reserved, as a mean of one
+            sample per settlement interval.
     """
 
     asked: int = 0
@@ -95,7 +97,15 @@
 
 @dataclass(slots=True)
 class Totals:
-    """The one budget as an onlooker sees it, and the store's counts."""
+    """True state of the budget over all routers, and counts of the store.
+
+    Attributes:
+        paid: Tokens paid in.
+        spent: Tokens spent by all routers.
+        reserved: Tokens reserved for requests in flight.
+        writes: Writes to the store.
+        cut_off: Routers that can't reach the store now.
+    """
 
     paid: int
     spent: int = 0
@@ -105,36 +115,41 @@
 
 
 class Strategy(Protocol):
-    """A way to spend one budget from several routers."""
+    """Strategy for spending one budget from several routers."""
 
     def admit(self, router: int, tokens: int) -> Charge | None:
         """Reserve tokens at a router, or return None."""
 
     def may_free(self, router: int, tokens: int) -> bool:
-        """Whether requests in flight may free enough."""
+        """Return whether requests in flight may free enough tokens."""
 
     def end(self, router: int, charge: Charge, tokens: int) -> None:
-        """End a reservation at what it came to."""
+        """End a reservation with the tokens actually spent."""
 
     def tick(self, router: int) -> None:
-        """Do what is done at each settlement period."""
+        """Do the periodic work of a settlement interval."""
 
     def count_idle(self) -> int:
-        """Return the tokens held at routers, neither spent nor reserved."""
+        """Return the tokens at routers that are neither spent nor reserved."""
 
 
 class FixedSplit:
-    """Each router gets an equal part at the start; nothing is moved."""
+    """Gives each router an equal part at the start and moves no tokens later."""
 
-    def __init__(self, scene: Scenario, book: Totals) -> None:
-        """Split the budget."""
-        part = scene.budget // scene.routers
-        self._ledgers = [_make_ledger(part) for _ in range(scene.routers)]
-        self._totals = book
-        book.writes += scene.routers
+    def __init__(self, scenario: Scenario, totals: Totals) -> None:
+        """Split the budget.
+
+        Args:
+            scenario: The simulated scenario.
+            totals: Totals of the simulation.
+        """
+        part = scenario.budget // scenario.routers
+        self._ledgers = [_make_ledger(part) for _ in range(scenario.routers)]
+        self._totals = totals
+        totals.writes += scenario.routers
 
     def admit(self, router: int, tokens: int) -> Charge | None:
-        """Reserve tokens of the router's part."""
+        """Reserve tokens from the router's part."""
         return self._ledgers[router].reserve(tokens)
 
     def may_free(self, router: int, tokens: int) -> bool:
@@ -146,7 +161,7 @@
         self._ledgers[router].end(charge, tokens)
 
     def tick(self, router: int) -> None:
-        """Settle what changed."""
+        """Settle unsettled spending in the store, unless the router is cut off."""
         ledger = self._ledgers[router]
         if not ledger.is_settled and router not in self._totals.cut_off:
             self._totals.writes += 1
@@ -154,21 +169,26 @@
             ledger.adopt(ledger.make_grant(Grant(), granted))
 
     def count_idle(self) -> int:
-        """Return the unspent rest of all parts."""
+        """Return the available tokens of all parts."""
         return sum(ledger.view().available for ledger in self._ledgers)
 
 
 class WriteEach:
-    """Every request reserves and settles in the store."""
+    """Reserves and settles every request in the store."""
+
+    def __init__(self, scenario: Scenario, totals: Totals) -> None:
+        """Create the one ledger, which is in the store.
 
-    def __init__(self, scene: Scenario, book: Totals) -> None:
-        """Keep one ledger, in the store."""
-        self._ledger = _make_ledger(scene.budget)
-        self._totals = book
+        Args:
+            scenario: The simulated scenario.
+            totals: Totals of the simulation.
+        """
+        self._ledger = _make_ledger(scenario.budget)
+        self._totals = totals
         self._deferred: list[tuple[int, Charge, int]] = []
 
     def admit(self, router: int, tokens: int) -> Charge | None:
-        """Reserve in the store, if it is in reach."""
+        """Reserve in the store, if the router can reach it."""
         if router in self._totals.cut_off:
             return None
         charge = self._ledger.reserve(tokens)
@@ -176,12 +196,12 @@
         return charge
 
     def may_free(self, router: int, tokens: int) -> bool:
-        """Whether any request in flight may free enough."""
+        """Return whether any request in flight may free enough tokens."""
         reachable = router not in self._totals.cut_off
         return reachable and self._ledger.covers_soon(tokens)
 
     def end(self, router: int, charge: Charge, tokens: int) -> None:
-        """Settle in the store, at once or when it is in reach again."""
+        """Settle in the store, or defer it until the store is reachable again."""
         if router in self._totals.cut_off:
             self._deferred.append((router, charge, tokens))
             return
@@ -189,34 +209,36 @@
         self._ledger.end(charge, tokens)
 
     def tick(self, router: int) -> None:
-        """Settle what waited for the store."""
-        late, self._deferred = self._deferred, []
-        for one in late:
-            self.end(*one)
+        """Retry the deferred settlements."""
+        deferred, self._deferred = self._deferred, []
+        for settlement in deferred:
+            self.end(*settlement)
 
     def count_idle(self) -> int:
-        """Return nothing: routers hold no tokens."""
+        """Return 0, as routers hold no tokens."""
         return 0
 
 
 class Grants:
-    """The shipped way: grants drawn, spent locally, settled and returned."""
+    """The shipped strategy: draws grants, spends them locally, settles and returns."""
 
-    def __init__(self, scene: Scenario, book: Totals, horizon: float = 5.0) -> None:
-        """Start without grants.
+    def __init__(
+        self, scenario: Scenario, totals: Totals, horizon: float = 5.0
+    ) -> None:
+        """Create the account and ledgers without grants.
 
         Args:
-            scene: The run.
-            book: Its counts.
-            horizon: Seconds of demand that a grant should cover.
+            scenario: The simulated scenario.
+            totals: Totals of the simulation.
+            horizon: Seconds of demand that a grant covers.
         """
-        self._account = Account(topped_up=scene.budget)
-        self._ledgers = [Ledger('w', 'b') for _ in range(scene.routers)]
-        self._totals = book
+        self._account = Account(topped_up=scenario.budget)
+        self._ledgers = [Ledger('w', 'b') for _ in range(scenario.routers)]
+        self._totals = totals
         self._horizon = horizon
 
     def admit(self, router: int, tokens: int) -> Charge | None:
-        """Reserve of the grant; draw, and recall from peers, when it is short."""
+        """Reserve from the grant; if it is short, draw more or recall from peers."""
         ledger = self._ledgers[router]
         ledger.note_demand(tokens)
         charge = ledger.reserve(tokens)
@@ -237,7 +259,7 @@
         self._ledgers[router].end(charge, tokens)
 
     def tick(self, router: int) -> None:
-        """Settle, and give back what lies idle."""
+        """Return surplus tokens, or else settle the spending."""
         if router in self._totals.cut_off:
             return
         ledger = self._ledgers[router]
@@ -247,12 +269,14 @@
         if surplus > 0:
             self._return_tokens(router, surplus)
         elif not ledger.is_settled:
-            name = f'session-{router}'
+            session = f'session-{router}'
             view = ledger.view()
-            self._write(router, choose_refill(self._account, name, view, self._horizon))
+            self._write(
+                router, choose_refill(self._account, session, view, self._horizon)
+            )
 
     def count_idle(self) -> int:
-        """Return what routers hold, neither spent nor reserved."""
+        """Return the tokens of the grants that are neither spent nor reserved."""
         return sum(ledger.view().available for ledger in self._ledgers)
 
     def _draw(self, router: int, tokens: int) -> bool:
@@ -278,9 +302,9 @@
             self._write(router, kept)
 
     def _write(self, router: int, granted: int) -> None:
-        name = f'session-{router}'
+        session = f'session-{router}'
         grant = self._ledgers[router].make_grant(self._find_grant(router), granted)
-        self._account = self._account.with_grant(name, grant)
+        self._account = self._account.with_grant(session, grant)
         self._ledgers[router].adopt(grant)
         self._totals.writes += 1
 
@@ -293,25 +317,28 @@
 
 
 def ledger_clock() -> Clock:
-    """Return the one virtual clock, which the ledgers read too."""
+    """Return the virtual clock shared by the simulation and the ledgers."""
     return _CLOCK
 
 
 class Simulation:
-    """One run of a scene."""
+    """Discrete-event simulation of a scenario with one strategy."""
 
-    def __init__(self, scene: Scenario, make_way: StrategyFactory, seed: int) -> None:
-        """Prepare a run.
+    def __init__(
+        self, scenario: Scenario, make_strategy: StrategyFactory, seed: int
+    ) -> None:
+        """Reset the clock and create the strategy.
 
         Args:
-            scene: What happens.
-            make_way: Makes the way that is measured.
-            seed: Seed of arrivals and lengths; equal for all ways.
+            scenario: Load and faults.
+            make_strategy: Creates the strategy to measure.
+            seed: Seed of arrivals, durations and answer lengths; with the same seed,
+                every strategy gets the same requests.
         """
         _CLOCK.now = 0
-        self._scene = scene
-        self._totals = Totals(scene.budget)
-        self._strategy = make_way(scene, self._totals)
+        self._scenario = scenario
+        self._totals = Totals(scenario.budget)
+        self._strategy = make_strategy(scenario, self._totals)
         self._random = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
@@ -319,12 +346,12 @@
         self._idle_samples: list[int] = []
 
     def run(self) -> Outcome:
-        """Run to the end of all requests and return the counts."""
+        """Run until all requests have ended and return the counts."""
         self._schedule_all()
         while self._events:
-            at, _, act = heapq.heappop(self._events)
+            at, _, action = heapq.heappop(self._events)
             _CLOCK.now = at
-            act()
+            action()
         outcome = self._outcome
         outcome.writes = self._totals.writes
         outcome.spent = self._totals.spent
@@ -333,42 +360,42 @@
         return outcome
 
     def _schedule_all(self) -> None:
-        scene = self._scene
+        scenario = self._scenario
         at = 0.0
-        while at < scene.seconds:
-            at += self._random.expovariate(scene.rate)
+        while at < scenario.seconds:
+            at += self._random.expovariate(scenario.rate)
             self._schedule(at, self._make_request(at))
-        for number in range(int(scene.seconds / SETTLE_INTERVAL_SECONDS)):
+        for number in range(int(scenario.seconds / SETTLE_INTERVAL_SECONDS)):
             self._schedule(number * SETTLE_INTERVAL_SECONDS, self._tick)
-        start, end = scene.cut
-        cut = set(range(scene.cut_off))
+        start, end = scenario.cut
+        cut = set(range(scenario.cut_off))
         self._schedule(start, lambda: self._totals.cut_off.update(cut))
         self._schedule(end, self._totals.cut_off.clear)
 
-    def _schedule(self, at: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), act))
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._numbers), action))
 
     def _make_request(self, at: float) -> Callable[[], None]:
         router = self._choose_router(at)
-        answer = self._random.randint(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS)
+        answer_tokens = self._random.randint(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS)
         seconds = self._random.uniform(0.5, 4)
-        spent = PROMPT_TOKENS + answer
+        spent = PROMPT_TOKENS + answer_tokens
 
-        def ask() -> None:
+        def send() -> None:
             self._outcome.asked += 1
             self._admit(router, spent, seconds, at + MAX_WAIT_SECONDS)
 
-        return ask
+        return send
 
     def _choose_router(self, at: float) -> int:
-        scene = self._scene
-        first = self._random.random() < scene.skew
-        other = self._random.randrange(1, scene.routers)
+        scenario = self._scenario
+        first = self._random.random() < scenario.skew
+        other = self._random.randrange(1, scenario.routers)
         if not first:
             return other
-        return 0 if at < scene.shift else scene.routers - 1
+        return 0 if at < scenario.shift else scenario.routers - 1
 
-    def _admit(self, router: int, spent: int, seconds: float, until: float) -> None:
+    def _admit(self, router: int, spent: int, seconds: float, deadline: float) -> None:
         wanted = PROMPT_TOKENS + MAX_ANSWER_TOKENS
         charge = self._strategy.admit(router, wanted)
         if charge is not None:
@@ -376,16 +403,16 @@
             self._schedule(
                 _CLOCK.now + seconds, lambda: self._end(router, charge, spent)
             )
-        elif _CLOCK.now + RETRY_BACKOFF_SECONDS < until and self._strategy.may_free(
+        elif _CLOCK.now + RETRY_BACKOFF_SECONDS < deadline and self._strategy.may_free(
             router, wanted
         ):
             self._schedule(
                 _CLOCK.now + RETRY_BACKOFF_SECONDS,
-                lambda: self._admit(router, spent, seconds, until),
+                lambda: self._admit(router, spent, seconds, deadline),
             )
         else:
-            book = self._totals
-            unspent = book.paid - book.spent - book.reserved
+            totals = self._totals
+            unspent = totals.paid - totals.spent - totals.reserved
             self._outcome.refused += 1
             self._outcome.falsely += unspent >= wanted
 
@@ -395,7 +422,7 @@
         self._strategy.end(router, charge, spent)
 
     def _tick(self) -> None:
-        for router in range(self._scene.routers):
+        for router in range(self._scenario.routers):
             self._strategy.tick(router)
         self._idle_samples.append(self._strategy.count_idle())
 
--- a/packages/bench/src/ibisport_bench/experiments/neighbours.py
+++ b/packages/bench/src/ibisport_bench/experiments/neighbours.py
@@ -1,8 +1,8 @@
-"""Small workspaces beside a large one, on a running site of real processes.
+"""Latency of small workspaces beside a large one, on a site of real processes.
 
 Run by ``python -m ibisport_bench.experiments.neighbours --seed 1``. Arrivals are
-open-loop and seeded; a first token's time counts from the intended arrival, so
-a late sender does not hide a wait.
+open-loop and seeded. The time to the first token counts from the intended arrival,
+so that a delay in the sender does not hide waiting time.
 """
 
 import tempfile
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request to be sent.
+    """A request and the time to send it.
 
     Attributes:
         at: Seconds after the start of the run.
-        workspace: Who sends it.
-        number: Makes its prompt its own.
+        workspace: Workspace that sends the request.
+        number: Index in the run; makes the prompt unique and picks the router.
     """
 
     at: float
@@ -49,26 +49,35 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a workspace got in one run; first tokens in milliseconds."""
+    """Results of a workspace in one run.
+
+    Attributes:
+        first_token_ms: Time to the first token of each request with status 200.
+        status_counts: Number of answers by HTTP status.
+    """
 
     first_token_ms: list[float] = field(default_factory=list)
     status_counts: Counter[int] = field(default_factory=Counter)
 
 
 class ArrivalSender:
-    """Sends the arrivals of one run at a site."""
+    """Sends the requests of a run to the routers of a site."""
 
     def __init__(self, site: Site) -> None:
-        """Keep the site."""
+        """Open a connection pool for the site.
+
+        Args:
+            site: The running site.
+        """
         self._site = site
         self._http = urllib3.PoolManager(maxsize=_LARGE_THREADS, retries=False)
 
     def run(self, arrivals: list[Arrival]) -> dict[str, Outcome]:
-        """Send the arrivals at their times and return what came of them."""
+        """Send the requests at their arrival times and return outcomes by workspace."""
         outcomes: dict[str, Outcome] = defaultdict(Outcome)
         started = time.time() + 0.1
-        # A pool of its own, so that the callers of the small workspaces do not
-        # wait behind those of the large one in this program.
+        # Separate thread pools, so that requests of the small workspaces do not
+        # queue behind those of the large one in this process.
         with (
             ThreadPoolExecutor(_SMALL_THREADS) as small,
             ThreadPoolExecutor(_LARGE_THREADS) as large,
@@ -105,18 +114,18 @@
 
 
 def make_arrivals(
-    rng: np.random.Generator, seconds: float, small_rate: float, times: float
+    rng: np.random.Generator, seconds: float, small_rate: float, multiple: float
 ) -> list[Arrival]:
     """Return Poisson arrivals of the small workspaces and the large one.
 
     Args:
-        rng: Seeded random numbers.
-        seconds: How long requests arrive.
-        small_rate: Requests a second of each small workspace.
-        times: The large one's rate as a multiple of a small one's.
+        rng: Seeded random generator.
+        seconds: Duration of the arrivals.
+        small_rate: Requests per second of each small workspace.
+        multiple: Rate of the large workspace as a multiple of ``small_rate``.
     """
     rates = {workspace: small_rate for workspace in _SMALL}
-    rates[_LARGE] = small_rate * times
+    rates[_LARGE] = small_rate * multiple
     drawn = [
         (at, workspace)
         for workspace, rate in rates.items()
@@ -138,37 +147,38 @@
     """Measure small workspaces alone and beside a large one.
 
     Args:
-        seed: Of the arrivals.
-        seconds: How long requests arrive in each run.
-        small_rate: Requests a second of each small workspace.
-        times: Multiples of a small one's rate that the large one sends.
-        engines: Engines of 8 slots, 20 ms a token.
+        seed: Seed of the arrivals.
+        seconds: Duration of the arrivals in each run.
+        small_rate: Requests per second of each small workspace.
+        times: Rates of the large workspace as multiples of ``small_rate``; one run
+            for each.
+        engines: Number of engines, each with 8 slots and 20 ms per token.
     """
     plans = tuple(WorkspacePlan(name, _BUDGET_TOKENS) for name in (*_SMALL, _LARGE))
     plan = SitePlan(engines=engines, services=0, token_ms=20, workspaces=plans)
     site = Site(plan, Path(tempfile.mkdtemp(prefix='ibisport-neighbours-')))
     try:
         site.start()
-        neighbours = ArrivalSender(site)
-        neighbours.run(make_arrivals(np.random.default_rng(0), 5, small_rate, 1))
-        _print_runs(neighbours, seed, seconds, small_rate, times)
+        sender = ArrivalSender(site)
+        sender.run(make_arrivals(np.random.default_rng(0), 5, small_rate, 1))
+        _print_runs(sender, seed, seconds, small_rate, times)
     finally:
         site.stop()
 
 
 def _print_runs(
-    neighbours: ArrivalSender,
+    sender: ArrivalSender,
     seed: int,
     seconds: float,
     small_rate: float,
-    times: tuple[float, ...],
+    multiples: tuple[float, ...],
 ) -> None:
     print('| large sends | who | first p50/p95/p99 ms | served | statuses |')
     print('| --- | --- | --- | --- | --- |')
-    for multiple in times:
+    for multiple in multiples:
         rng = np.random.default_rng(seed)
         arrivals = make_arrivals(rng, seconds, small_rate, multiple)
-        outcomes = neighbours.run(arrivals)
+        outcomes = sender.run(arrivals)
         small = Outcome()
         for workspace in _SMALL:
             small.first_token_ms += outcomes[workspace].first_token_ms
@@ -177,16 +187,16 @@
         _print_outcome(multiple, _LARGE, outcomes[_LARGE])
 
 
-def _print_outcome(multiple: float, who: str, outcome: Outcome) -> None:
+def _print_outcome(multiple: float, label: str, outcome: Outcome) -> None:
     if not outcome.status_counts:
         return
-    shown = 'none'
+    percentiles = 'none'
     if outcome.first_token_ms:
-        shares = np.percentile(outcome.first_token_ms, [50, 95, 99])
-        shown = '/'.join(f'{share:.0f}' for share in shares)
+        samples = np.percentile(outcome.first_token_ms, [50, 95, 99])
+        percentiles = '/'.join(f'{sample:.0f}' for sample in samples)
     served = len(outcome.first_token_ms)
     codes = dict(outcome.status_counts)
-    print(f'| {multiple}x | {who} | {shown} | {served} | {codes} |', flush=True)
+    print(f'| {multiple}x | {label} | {percentiles} | {served} | {codes} |', flush=True)
 
 
 def _draw_arrival_times(
