--- a/packages/bench/src/ibisport_bench/experiments/budgets.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgets.py
@@ -94,7 +94,7 @@
     faults.cut, faults.slow, faults.lose = set(), 1.0, 0.0
     refused = world.outcomes['short'] + world.outcomes['spent']
     requests = max(1, world.outcomes.total())
-    calls = (world.service.calls - calls_before) / requests
+    calls_per_request = (world.service.calls - calls_before) / requests
     await asyncio.sleep(RECOVERY_SECONDS)
     page = decode_page(world.service.items[PAGE_KEY].content)
     stranded = max(0, page.find('acme').closed - world.delivered)
@@ -102,7 +102,7 @@
         'overspent': float(max(0, world.delivered - BUDGET_TOKENS)),
         'refused': refused / requests,
         'stranded': stranded / BUDGET_TOKENS,
-        'calls': calls,
+        'calls': calls_per_request,
     }
 
 
