--- a/packages/bench/src/ibisport_bench/experiments/budgets.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgets.py
@@ -1,7 +1,7 @@
-"""What budgets over many routers refuse, strand and cost, scene by scene.
+"""Refusals, stranded tokens and store calls of shared budgets under faults.
 
-The ledger, the page and the keeper are the shipped ones; time is virtual and all is
-seeded. ``python -m ibisport_bench.experiments.budgets`` prints the table.
+Runs the shipped ledger, budget page and budget synchronizer in virtual time with
+fixed seeds. ``python -m ibisport_bench.experiments.budgets`` prints the table.
 """
 
 import asyncio
@@ -15,29 +15,34 @@
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
 
-BUDGET = 4_000_000
-# Mean tokens of a request; sizes are drawn from these.
-SIZES = (500, 1_000, 2_000, 9_000)
-PER_SECOND = 30
-CALM_SECONDS = 20
-SCENE_SECONDS = 9
+BUDGET_TOKENS = 4_000_000
+# Each request reserves a randomly chosen one of these sizes and spends 90 % of it.
+REQUEST_TOKENS = (500, 1_000, 2_000, 9_000)
+REQUESTS_PER_SECOND = 30
+WARMUP_SECONDS = 20
+FAULT_SECONDS = 9
 RECOVERY_SECONDS = 12
 SEEDS = (1, 2, 3)
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
-    """Something that happens while callers go on."""
+class Scenario:
+    """A fault that starts while callers keep sending requests.
+
+    Attributes:
+        name: Label in the printed table.
+        inject_fault: Starts the fault, given the simulated routers and their count.
+    """
 
     name: str
-    begin: Callable[[BudgetWorld, int], None]
+    inject_fault: Callable[[BudgetWorld, int], None]
 
 
 def _do_nothing(world: BudgetWorld, hosts: int) -> None:
-    """Leave all as it is."""
+    """Inject no fault."""
 
 
-def _cut_all(world: BudgetWorld, hosts: int) -> None:
+def _disconnect_all(world: BudgetWorld, hosts: int) -> None:
     world.service.faults.cut = set(world.names)
 
 
@@ -46,7 +51,7 @@
         world.kill(number)
 
 
-def _slow_down(world: BudgetWorld, hosts: int) -> None:
+def _slow_store(world: BudgetWorld, hosts: int) -> None:
     world.service.faults.slow = 60.0
 
 
@@ -55,62 +60,65 @@
     world.service.faults.second_way = True
 
 
-SCENES = (
-    Scene('calm', _do_nothing),
-    Scene('all cut off 9 s', _cut_all),
-    Scene('all killed', _kill_all),
-    Scene('store 60 times slower 9 s', _slow_down),
-    Scene('a third of the answers lost 9 s', _lose_answers),
+SCENARIOS = (
+    Scenario('calm', _do_nothing),
+    Scenario('all cut off 9 s', _disconnect_all),
+    Scenario('all killed', _kill_all),
+    Scenario('store 60 times slower 9 s', _slow_store),
+    Scenario('a third of the answers lost 9 s', _lose_answers),
 )
 
 
-async def _press(world: BudgetWorld, seconds: float, rng: random.Random) -> None:
+async def _send_requests(
+    world: BudgetWorld, seconds: float, rng: random.Random
+) -> None:
     hosts = len(world.names)
-    for _ in range(int(seconds * PER_SECOND)):
-        tokens = rng.choice(SIZES)
+    for _ in range(int(seconds * REQUESTS_PER_SECOND)):
+        tokens = rng.choice(REQUEST_TOKENS)
         world.ask(rng.randrange(hosts), tokens, 0.9, rng.uniform(0.1, 1.5))
-        await asyncio.sleep(1 / PER_SECOND)
+        await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
 
-async def _play(scene: Scene, hosts: int, seed: int) -> dict[str, float]:
+async def _run_scenario(scenario: Scenario, hosts: int, seed: int) -> dict[str, float]:
     random.seed(seed)
     rng = random.Random(seed)
-    world = BudgetWorld(hosts, BUDGET, seed)
+    world = BudgetWorld(hosts, BUDGET_TOKENS, seed)
     world.start_all()
     await asyncio.sleep(1.0)
-    await _press(world, CALM_SECONDS, rng)
+    await _send_requests(world, WARMUP_SECONDS, rng)
     world.outcomes.clear()
-    calls = world.service.calls
-    scene.begin(world, hosts)
-    await _press(world, SCENE_SECONDS, rng)
+    calls_before = world.service.calls
+    scenario.inject_fault(world, hosts)
+    await _send_requests(world, FAULT_SECONDS, rng)
     faults = world.service.faults
     faults.cut, faults.slow, faults.lose = set(), 1.0, 0.0
     refused = world.outcomes['short'] + world.outcomes['spent']
-    asked = max(1, world.outcomes.total())
-    spent = (world.service.calls - calls) / asked
+    requests = max(1, world.outcomes.total())
+    calls_per_request = (world.service.calls - calls_before) / requests
     await asyncio.sleep(RECOVERY_SECONDS)
     page = decode_page(world.service.items[PAGE_KEY].content)
     stranded = max(0, page.find('acme').closed - world.delivered)
     return {
-        'overspent': float(max(0, world.delivered - BUDGET)),
-        'refused': refused / asked,
-        'stranded': stranded / BUDGET,
-        'calls': spent,
+        'overspent': float(max(0, world.delivered - BUDGET_TOKENS)),
+        'refused': refused / requests,
+        'stranded': stranded / BUDGET_TOKENS,
+        'calls': calls_per_request,
     }
 
 
-def measure(scene: Scene, hosts: int) -> dict[str, float]:
-    """Return the means of a scene over all seeds.
+def measure(scenario: Scenario, hosts: int) -> dict[str, float]:
+    """Run a scenario with every seed and return the mean figures.
 
     Args:
-        scene: What happens.
-        hosts: How many routers share the budget.
+        scenario: The fault to inject.
+        hosts: Number of routers that share the budget.
 
     Returns:
-        Tokens overspent, shares of requests refused and of the budget stranded,
-        and steps of store calls for each request.
+        ``overspent`` in tokens, ``refused`` as a share of the requests,
+        ``stranded`` as a share of the budget, and ``calls``: messages to and from
+        the store per request.
     """
-    runs = [run_virtually(_play(scene, hosts, seed)) for seed in SEEDS]
+    runs = [run_virtually(_run_scenario(scenario, hosts, seed)) for seed in SEEDS]
     totals = Counter[str]()
     for run in runs:
         totals.update(run)
@@ -118,19 +126,19 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print one table row per router count and scenario."""
     print('| scene | routers | overspent | refused | stranded | store steps |')
     print('| --- | --- | --- | --- | --- | --- |')
     for hosts in (5, 31):
-        for scene in SCENES:
-            found = measure(scene, hosts)
+        for scenario in SCENARIOS:
+            means = measure(scenario, hosts)
             cells = [
-                f'{found["overspent"]:.0f}',
-                f'{found["refused"]:.4f}',
-                f'{found["stranded"]:.4f}',
-                f'{found["calls"]:.2f}',
+                f'{means["overspent"]:.0f}',
+                f'{means["refused"]:.4f}',
+                f'{means["stranded"]:.4f}',
+                f'{means["calls"]:.2f}',
             ]
-            print(f'| {scene.name} | {hosts} |', ' | '.join(cells), '|')
+            print(f'| {scenario.name} | {hosts} |', ' | '.join(cells), '|')
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/ibisport_bench/experiments/money.py
+++ b/packages/bench/src/ibisport_bench/experiments/money.py
@@ -1,4 +1,4 @@
-"""Overspend, false refusals, idle tokens and store writes of ways to spend.
+"""Overspend, false refusals, idle tokens and store writes of budget strategies.
 
 ``python -m ibisport_bench.experiments.money --seed 1`` prints tables and, with
 ``--out``, writes the figures as JSON. Compares the shipped grants with a fixed
@@ -18,72 +18,81 @@
 from ibisport_bench.experiments.money_model import (
     FixedSplit,
     Grants,
-    MakeWay,
     Outcome,
-    Run,
-    Scene,
+    Scenario,
+    Simulation,
+    StrategyFactory,
     WriteEach,
     ledger_clock,
 )
 from ibisport_core.internal.account import Grant
 from ibisport_router.internal.ledger import Ledger
 
-SEEDS = 2
-ROUTERS = (2, 4, 8)
-AMPLE = 3_000_000
-SCARCE = 200_000
-PARTITION = (60.0, 660.0)
-SHIFT = 300.0
+SEED_COUNT = 2
+ROUTER_COUNTS = (2, 4, 8)
+AMPLE_TOKENS = 3_000_000
+SCARCE_TOKENS = 200_000
+PARTITION_SECONDS = (60.0, 660.0)
+SHIFT_SECONDS = 300.0
 ADMISSIONS = 20_000
-MICROS = 1_000_000
-HORIZONS = (5.0, 600.0)
-_LEDGER_TIME = 'ibisport_router.internal.ledger.time'
+MICROSECONDS_PER_SECOND = 1_000_000
+HORIZONS_SECONDS = (5.0, 600.0)
+_LEDGER_TIME_PATH = 'ibisport_router.internal.ledger.time'
 
 
-def list_scenes(routers: int) -> list[Scene]:
-    """Return the scenes at a count of routers."""
+def list_scenarios(routers: int) -> list[Scenario]:
+    """Return the scenarios for a number of routers."""
     half = routers // 2
     return [
-        Scene('ample budget', routers, AMPLE),
-        Scene('near zero', routers, SCARCE),
-        Scene('near zero, demand moves', routers, SCARCE, shift=SHIFT),
-        Scene('half cut off', routers, AMPLE, cut=PARTITION, cut_off=half),
-        Scene('all cut off', routers, AMPLE, cut=PARTITION, cut_off=routers),
+        Scenario('ample budget', routers, AMPLE_TOKENS),
+        Scenario('near zero', routers, SCARCE_TOKENS),
+        Scenario(
+            'near zero, demand moves', routers, SCARCE_TOKENS, shift=SHIFT_SECONDS
+        ),
+        Scenario(
+            'half cut off', routers, AMPLE_TOKENS, cut=PARTITION_SECONDS, cut_off=half
+        ),
+        Scenario(
+            'all cut off', routers, AMPLE_TOKENS, cut=PARTITION_SECONDS, cut_off=routers
+        ),
     ]
 
 
-def run_ways(
-    scene: Scene, ways: dict[str, MakeWay], seed: int
+def run_strategies(
+    scenario: Scenario, strategies: dict[str, StrategyFactory], seed: int
 ) -> dict[str, list[Outcome]]:
-    """Return the outcomes of every way, one for each seed."""
-    with patch(_LEDGER_TIME, ledger_clock()):
+    """Run every strategy and return its outcomes, one per seed."""
+    with patch(_LEDGER_TIME_PATH, ledger_clock()):
         return {
-            name: [Run(scene, way, seed + step).run() for step in range(SEEDS)]
-            for name, way in ways.items()
+            name: [
+                Simulation(scenario, strategy, seed + step).run()
+                for step in range(SEED_COUNT)
+            ]
+            for name, strategy in strategies.items()
         }
 
 
-def format_row(scene: Scene, name: str, outcomes: list[Outcome]) -> list[str]:
-    """Return a table's row: sums over the seeds, shares of all requests."""
-    asked = sum(one.asked for one in outcomes)
-    refused = sum(one.refused for one in outcomes)
-    falsely = sum(one.falsely for one in outcomes)
-    writes = sum(one.writes for one in outcomes)
-    idle = sum(one.idle for one in outcomes) / len(outcomes)
+def format_row(scenario: Scenario, name: str, outcomes: list[Outcome]) -> list[str]:
+    """Return a table row: sums over the seeds, and shares of all requests."""
+    requests = sum(outcome.asked for outcome in outcomes)
+    refused = sum(outcome.refused for outcome in outcomes)
+    falsely_refused = sum(outcome.falsely for outcome in outcomes)
+    writes = sum(outcome.writes for outcome in outcomes)
+    idle = sum(outcome.idle for outcome in outcomes) / len(outcomes)
     return [
-        scene.name,
-        str(scene.routers),
+        scenario.name,
+        str(scenario.routers),
         name,
-        str(sum(one.overspent for one in outcomes)),
-        f'{refused / asked:.4f}',
-        f'{falsely / asked:.4f}',
-        f'{writes / asked:.3f}',
-        f'{idle / scene.budget:.4f}',
+        str(sum(outcome.overspent for outcome in outcomes)),
+        f'{refused / requests:.4f}',
+        f'{falsely_refused / requests:.4f}',
+        f'{writes / requests:.3f}',
+        f'{idle / scenario.budget:.4f}',
     ]
 
 
 def measure_admission() -> float:
-    """Return the microseconds of one reservation and its end, without a draw."""
+    """Return the microseconds that reserving and settling take, without a draw."""
     ledger = Ledger('w', 'b')
     ledger.adopt(Grant(granted=ADMISSIONS * 10))
     started = time.perf_counter()
@@ -91,37 +100,37 @@
         charge = ledger.reserve(10)
         if charge is not None:
             ledger.end(charge, 10)
-    return (time.perf_counter() - started) / ADMISSIONS * MICROS
+    return (time.perf_counter() - started) / ADMISSIONS * MICROSECONDS_PER_SECOND
 
 
 def run_experiment(
     seed: int = 1,
     out: str = '',
-    routers: tuple[int, ...] = ROUTERS,
-    horizons: tuple[float, ...] = HORIZONS,
+    routers: tuple[int, ...] = ROUTER_COUNTS,
+    horizons: tuple[float, ...] = HORIZONS_SECONDS,
 ) -> None:
-    """Run everything and print the tables.
+    """Run all scenarios with all strategies and print the table.
 
     Args:
-        seed: First seed; each figure sums up two in a row.
-        out: File for the figures as JSON; empty for none.
-        routers: Counts of routers.
-        horizons: Seconds of demand that a grant should cover, each a way.
+        seed: First seed; each figure covers this seed and the next.
+        out: Path of a JSON file for the figures; empty for none.
+        routers: Numbers of routers to simulate.
+        horizons: Seconds of demand that a grant covers; each value is a strategy.
     """
-    ways: dict[str, MakeWay] = {
+    strategies: dict[str, StrategyFactory] = {
         f'grants {horizon:.0f} s': partial(Grants, horizon=horizon)
         for horizon in horizons
     }
-    ways |= {'fixed split': FixedSplit, 'write each': WriteEach}
+    strategies |= {'fixed split': FixedSplit, 'write each': WriteEach}
     figures = []
     rows = []
     for count in routers:
-        for scene in list_scenes(count):
-            for name, outcomes in run_ways(scene, ways, seed).items():
-                rows.append(format_row(scene, name, outcomes))
+        for scenario in list_scenarios(count):
+            for name, outcomes in run_strategies(scenario, strategies, seed).items():
+                rows.append(format_row(scenario, name, outcomes))
                 figures += [
-                    {'scene': asdict(scene), 'way': name, **asdict(one)}
-                    for one in outcomes
+                    {'scene': asdict(scenario), 'way': name, **asdict(outcome)}
+                    for outcome in outcomes
                 ]
     columns = (
         'scene',
@@ -133,7 +142,7 @@
         'writes a request',
         'idle share',
     )
-    print_table(f'Seeds {seed} to {seed + SEEDS - 1}', columns, rows)
+    print_table(f'Seeds {seed} to {seed + SEED_COUNT - 1}', columns, rows)
     admission = measure_admission()
     print(f'\none admission and its end: {admission:.1f} microseconds')
     if out:
