--- a/features/steps/applying_steps.py
+++ b/features/steps/applying_steps.py
@@ -9,9 +9,9 @@
 from domains import TEST_TIMEOUT_SECONDS, FailureDomain, RecordingSubscriber
 from followers import open_null_log
 
-from ibisport_bench.memorytransport import Link
-from ibisport_bench.virtualnet import run_on_net
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.memory_transport import Link
+from ibisport_bench.virtual_network import run_on_net
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.errors import HistoryLost
 from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.store import Item, Listing
--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -8,9 +8,9 @@
 from hypothesis import HealthCheck, settings, strategies
 from hypothesis import given as forall
 
-from ibisport_bench.budgetworld import BudgetWorld
+from ibisport_bench.budget_world import BudgetWorld
 from ibisport_bench.experiments.budgetrolls import simulate_rolling_restarts
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
 from ibisport_fleet.lenders import rank_lenders
--- a/features/steps/contentcoding_steps.py
+++ b/features/steps/contentcoding_steps.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 from domains import PEER_PORT, TEST_TIMEOUT_SECONDS, FailureDomain
 
-from ibisport_bench.virtualnet import run_on_net
+from ibisport_bench.virtual_network import run_on_net
 from ibisport_fleet.content_coding import ACCEPT_HEADERS, decode_body
 from ibisport_fleet.errors import AnswerInvalid
 from ibisport_fleet.http_connection import open_http_connection
--- a/features/steps/docs_steps.py
+++ b/features/steps/docs_steps.py
@@ -7,7 +7,7 @@
 
 from ibisport_core import errors
 from ibisport_core.events import Event
-from ibisport_fleet.eventlog import Event as FleetEvent
+from ibisport_fleet.event_log import Event as FleetEvent
 
 DOCS = Path(__file__).parents[2] / 'docs'
 # Only sent between processes, or to a caller that has disconnected.
--- a/features/steps/domains.py
+++ b/features/steps/domains.py
@@ -5,8 +5,8 @@
 
 from followers import open_null_log
 
-from ibisport_bench.memorytransport import Link
-from ibisport_bench.standins.memorystore import MemoryService, MemoryStore
+from ibisport_bench.memory_transport import Link
+from ibisport_bench.standins.memory_store import MemoryService, MemoryStore
 from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.relay import Relay, RelayAdapters
 from ibisport_fleet.settings import Bounds, HostSettings
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from ibisport_fleet.eventlog import Event
+from ibisport_fleet.event_log import Event
 from ibisport_fleet.explain import Cause, explain
 
 ROUTE = 'r-1'
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -11,14 +11,14 @@
 from engines import build_engine
 from followers import NewestContent, open_null_log
 
-from ibisport_bench.standins.memorystore import ANSWER_SECONDS, MemoryService
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.standins.memory_store import ANSWER_SECONDS, MemoryService
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.budget_page import (
     decode_page,
 )
 from ibisport_fleet.catalogue import Catalogue
 from ibisport_fleet.engine_choice import choose_engine
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.fleet_view import CatalogueView, TargetView
 from ibisport_fleet.metadata import PromptPart
 from ibisport_fleet.prefix_watch import PrefixWatch
--- a/features/steps/followers.py
+++ b/features/steps/followers.py
@@ -3,7 +3,7 @@
 import json
 import os
 
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 
 
 def open_null_log():
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from running_fleet import CONVERGENCE_SECONDS, FATAL, SLOW, START_SECONDS, run_fleet
 
-from ibisport_bench.memorytransport import Link
+from ibisport_bench.memory_transport import Link
 from ibisport_fleet.quarantine import CRASH_THRESHOLD
 
 OTHERS_INTERVAL_SECONDS = 0.08
--- a/features/steps/quarantinepage_steps.py
+++ b/features/steps/quarantinepage_steps.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 from followers import open_null_log
 
-from ibisport_bench.standins.memorystore import MemoryService
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.standins.memory_store import MemoryService
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.membership import SHARED_PREFIX
 from ibisport_fleet.quarantine import Quarantine, TargetCrash
 from ibisport_fleet.quarantine_store import PAGE_KEY, QuarantineStore, decode_page
--- a/features/steps/ratelimit_steps.py
+++ b/features/steps/ratelimit_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, settings, strategies
 from hypothesis import given as forall
 
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.engine_choice import choose_engine
 from ibisport_fleet.errors import PeerUnavailable
 from ibisport_fleet.metadata import PromptPart
--- a/features/steps/records_steps.py
+++ b/features/steps/records_steps.py
@@ -11,7 +11,7 @@
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.connection_pool import ConnectionPool
 from ibisport_fleet.errors import PeerUnavailable, RecordInvalid
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.host_record import decode_record
 from ibisport_fleet.loans import Loan, LoanClient, LoanRequest, LoanServer
--- a/features/steps/running_fleet.py
+++ b/features/steps/running_fleet.py
@@ -21,8 +21,8 @@
     make_route,
 )
 
-from ibisport_bench.standins.memorystore import MemoryService
-from ibisport_bench.virtualnet import run_on_net
+from ibisport_bench.standins.memory_store import MemoryService
+from ibisport_bench.virtual_network import run_on_net
 from ibisport_fleet.adapters import Adapters
 from ibisport_fleet.catalogue import (
     Catalogue,
@@ -33,7 +33,7 @@
 )
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.errors import FleetError
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.request_reader import RequestReader
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import Bounds, HostSettings
--- a/features/steps/running_router.py
+++ b/features/steps/running_router.py
@@ -9,9 +9,9 @@
 
 import httptools
 
-from ibisport_bench.standins.memorystore import MemoryService
+from ibisport_bench.standins.memory_store import MemoryService
 from ibisport_bench.standins.scripted import Reply, ScriptedTarget
-from ibisport_bench.virtualnet import run_on_net
+from ibisport_bench.virtual_network import run_on_net
 from ibisport_fleet.adapters import Adapters
 from ibisport_fleet.catalogue import (
     Catalogue,
@@ -21,7 +21,7 @@
     ServiceShare,
     Workspace,
 )
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import Bounds, HostSettings
 from ibisport_fleet.targets import TargetEntry
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import given as forall
 from running_router import KEY, make_route
 
-from ibisport_bench.standins.memorystore import MemoryService
+from ibisport_bench.standins.memory_store import MemoryService
 from ibisport_bench.standins.scripted import Reply, ScriptedTarget
 from ibisport_fleet.adapters import Adapters
 from ibisport_fleet.catalogue import (
@@ -18,7 +18,7 @@
     Service,
     Workspace,
 )
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import Bounds, HostSettings
 from ibisport_fleet.shutdown import LISTENING_SECONDS
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -6,9 +6,9 @@
 from domains import MAX_PROPAGATION_SECONDS, TEST_TIMEOUT_SECONDS, FailureDomain
 from followers import open_null_log
 
-from ibisport_bench.standins.memorystore import ANSWER_SECONDS, MemoryService
-from ibisport_bench.virtualnet import run_on_net
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.standins.memory_store import ANSWER_SECONDS, MemoryService
+from ibisport_bench.virtual_network import run_on_net
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.errors import StoreError
 from ibisport_fleet.watch_cache import WatchCache
 from ibisport_fleet.watch_schedule import plan_router_watch
--- a/features/steps/shutdowns_steps.py
+++ b/features/steps/shutdowns_steps.py
@@ -18,12 +18,12 @@
 from behave import fixture, given, then, use_fixture, when
 
 from ibisport_agent.internal.feed import Feed
-from ibisport_bench.budgetworld import LINK_SECONDS, BudgetWorld
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.budget_world import LINK_SECONDS, BudgetWorld
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_core.link import Link
 from ibisport_core.messages import Accepted, Chunk, Finished
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
-from ibisport_fleet.eventlog import Event
+from ibisport_fleet.event_log import Event
 
 # Ends a test that would hang; nothing is expected to take so long.
 TIMEOUT_SECONDS = 20.0
--- a/features/steps/stopping_edges_steps.py
+++ b/features/steps/stopping_edges_steps.py
@@ -20,10 +20,10 @@
     send_on_new_connection,
 )
 
-from ibisport_bench.memorytransport import Link
-from ibisport_bench.standins.memorystore import ANSWER_SECONDS, MemoryService
-from ibisport_bench.virtualtime import run_virtually
-from ibisport_fleet.eventlog import EventLog
+from ibisport_bench.memory_transport import Link
+from ibisport_bench.standins.memory_store import ANSWER_SECONDS, MemoryService
+from ibisport_bench.virtual_time import run_virtually
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.membership import MEMBER_PREFIX, Membership
 from ibisport_fleet.shutdown import plan_shutdown
 
--- a/features/steps/stopping_plays_steps.py
+++ b/features/steps/stopping_plays_steps.py
@@ -19,7 +19,7 @@
     run_until_stopped,
 )
 
-from ibisport_bench.memorytransport import Link
+from ibisport_bench.memory_transport import Link
 
 GRACE_RANGE = (4.0, 12.0)
 # With few requests, the process sometimes waits for one of them only.
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -21,7 +21,7 @@
     send_on_new_connection,
 )
 
-from ibisport_bench.memorytransport import Link
+from ibisport_bench.memory_transport import Link
 
 # Maximum time until a refusal, which waits for no other process.
 MAX_REFUSAL_SECONDS = 0.5
--- a/features/steps/storecalls_steps.py
+++ b/features/steps/storecalls_steps.py
@@ -5,12 +5,12 @@
 from behave import given, then, when
 from followers import NewestContent, ReadableLog, open_null_log
 
-from ibisport_bench.memorytransport import Link
-from ibisport_bench.standins.memorystore import MemoryService
-from ibisport_bench.virtualnet import run_on_net
+from ibisport_bench.memory_transport import Link
+from ibisport_bench.standins.memory_store import MemoryService
+from ibisport_bench.virtual_network import run_on_net
 from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.errors import StoreError, StoreUnknown
-from ibisport_fleet.eventlog import Event
+from ibisport_fleet.event_log import Event
 from ibisport_fleet.prefix_watch import PrefixWatch
 from ibisport_fleet.store import Condition, Put
 from ibisport_fleet.store_contact import StoreContact
--- a/features/steps/virtualnet_steps.py
+++ b/features/steps/virtualnet_steps.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from ibisport_bench.memorytransport import Link
-from ibisport_bench.virtualnet import run_on_net
+from ibisport_bench.memory_transport import Link
+from ibisport_bench.virtual_network import run_on_net
 
 ADDRESS = ('10.0.0.1', 80)
 
--- a/packages/bench/src/ibisport_bench/budgetworld.py
+++ b/packages/bench/src/ibisport_bench/budget_world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ibisport_bench.standins.memorystore import MemoryService
+from ibisport_bench.standins.memory_store import MemoryService
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
@@ -14,7 +14,7 @@
 from ibisport_fleet.catalogue import Catalogue, Workspace
 from ibisport_fleet.clocks import Clocks
 from ibisport_fleet.errors import PeerUnavailable, RecordInvalid
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.loans import Loan, LoanRequest
 from ibisport_fleet.membership import Membership
--- a/packages/bench/src/ibisport_bench/experiments/budgets.py
+++ b/packages/bench/src/ibisport_bench/experiments/budgets.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ibisport_bench.budgetworld import BudgetWorld
-from ibisport_bench.virtualtime import run_virtually
+from ibisport_bench.budget_world import BudgetWorld
+from ibisport_bench.virtual_time import run_virtually
 from ibisport_fleet.budget_page import decode_page
 from ibisport_fleet.budget_synchronizer import PAGE_KEY
 
--- a/packages/bench/src/ibisport_bench/soak/site.py
+++ b/packages/bench/src/ibisport_bench/soak/site.py
@@ -12,7 +12,7 @@
 from ibisport_bench.soak.links import Address, Link
 from ibisport_bench.soak.processes import Host
 from ibisport_bench.soak.targets import Target
-from ibisport_bench.standins.memorystore import MemoryService
+from ibisport_bench.standins.memory_store import MemoryService
 from ibisport_fleet.catalogue import (
     Catalogue,
     Engine,
@@ -22,7 +22,7 @@
     ServiceShare,
     Workspace,
 )
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.settings import Bounds, HostSettings
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.records import CATALOGUE_KEY
--- a/packages/bench/src/ibisport_bench/soak/targets.py
+++ b/packages/bench/src/ibisport_bench/soak/targets.py
@@ -24,7 +24,7 @@
     skip_body,
 )
 from ibisport_bench.soak.links import Link
-from ibisport_bench.standins.memorystore import MemoryService
+from ibisport_bench.standins.memory_store import MemoryService
 from ibisport_fleet.targets import TargetEntry
 from ibisport_platform.headers import (
     EXPECT_INSTANCE,
--- a/packages/bench/src/ibisport_bench/virtualnet.py
+++ b/packages/bench/src/ibisport_bench/virtual_network.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from ibisport_bench.memorytransport import (
+from ibisport_bench.memory_transport import (
     Address,
     Link,
     MemoryTransport,
     ProtocolFactory,
 )
-from ibisport_bench.virtualtime import VirtualLoop
+from ibisport_bench.virtual_time import VirtualLoop
 
 FIRST_FREE_PORT = 49_152
 _HOST = contextvars.ContextVar('_HOST', default='')
--- a/packages/fleet/src/ibisport_fleet/adapters.py
+++ b/packages/fleet/src/ibisport_fleet/adapters.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ibisport_fleet.catalogue import Catalogue
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.metadata import Dialect
 from ibisport_fleet.settings import HostSettings
 from ibisport_fleet.store import Item, Store
--- a/packages/fleet/src/ibisport_fleet/borrowing.py
+++ b/packages/fleet/src/ibisport_fleet/borrowing.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ibisport_fleet.errors import PeerUnavailable
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.ledger import Ledger, Reservation
 from ibisport_fleet.lenders import rank_lenders
 from ibisport_fleet.loans import Loan, LoanPeer, LoanRequest
--- a/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
+++ b/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
@@ -37,7 +37,7 @@
     plan_share,
 )
 from ibisport_fleet.clocks import Clocks
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.host_record import (
     HostRecord,
--- a/packages/fleet/src/ibisport_fleet/budgets.py
+++ b/packages/fleet/src/ibisport_fleet/budgets.py
@@ -15,7 +15,7 @@
 from ibisport_fleet.catalogue import Workspace
 from ibisport_fleet.clocks import SYSTEM_CLOCKS, Clocks
 from ibisport_fleet.errors import FleetError, RecordInvalid, StoreError
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.ledger import Reservation
 from ibisport_fleet.lenders import rank_lenders
--- a/packages/fleet/src/ibisport_fleet/caller_server.py
+++ b/packages/fleet/src/ibisport_fleet/caller_server.py
@@ -8,7 +8,7 @@
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.errors import ConnectionBroken, RequestInvalid
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.fleet_view import CatalogueView
 from ibisport_fleet.metadata import Dialect
 from ibisport_fleet.request_reader import RequestReader, wait_for_request
--- a/packages/fleet/src/ibisport_fleet/connection_tasks.py
+++ b/packages/fleet/src/ibisport_fleet/connection_tasks.py
@@ -6,7 +6,7 @@
 from weakref import WeakSet
 
 from ibisport_fleet.channel import Channel
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 
 
 class ConnectionTasks:
--- a/packages/fleet/src/ibisport_fleet/explain.py
+++ b/packages/fleet/src/ibisport_fleet/explain.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ibisport_fleet.eventlog import Event
+from ibisport_fleet.event_log import Event
 
 MIN_FAILURE_STATUS = 500
 
--- a/packages/fleet/src/ibisport_fleet/fatal_requests.py
+++ b/packages/fleet/src/ibisport_fleet/fatal_requests.py
@@ -12,7 +12,7 @@
 
 from ibisport_fleet.connection_pool import ConnectionPool
 from ibisport_fleet.crash_detection import CrashDetector
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.notices import Notifier
--- a/packages/fleet/src/ibisport_fleet/fleet_view.py
+++ b/packages/fleet/src/ibisport_fleet/fleet_view.py
@@ -5,7 +5,7 @@
 
 from ibisport_fleet.catalogue import Catalogue
 from ibisport_fleet.errors import RecordInvalid
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.store import Change, Item, Listing, Removal
 from ibisport_fleet.target_choice import Candidate, TargetHealth
 from ibisport_fleet.targets import TargetEntry, TargetList
--- a/packages/fleet/src/ibisport_fleet/membership.py
+++ b/packages/fleet/src/ibisport_fleet/membership.py
@@ -10,7 +10,7 @@
 
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.errors import RecordInvalid, StoreError
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.store import Item, Listing, Put, Store
 
 MEMBER_PREFIX = 'ibisport/router/'
--- a/packages/fleet/src/ibisport_fleet/notices.py
+++ b/packages/fleet/src/ibisport_fleet/notices.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ibisport_fleet.errors import PeerUnavailable
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.membership import Member, Membership
 from ibisport_fleet.peers import PeerClient
 
--- a/packages/fleet/src/ibisport_fleet/peers.py
+++ b/packages/fleet/src/ibisport_fleet/peers.py
@@ -17,7 +17,7 @@
     FleetError,
     PeerUnavailable,
 )
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.http_messages import Headers
 from ibisport_fleet.request_reader import RequestReader
 
--- a/packages/fleet/src/ibisport_fleet/predecessor.py
+++ b/packages/fleet/src/ibisport_fleet/predecessor.py
@@ -6,7 +6,7 @@
 
 from ibisport_fleet.budget_page import Session
 from ibisport_fleet.errors import RecordInvalid
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.host_record import HostRecord, decode_record
 from ibisport_fleet.store import Item
 
--- a/packages/fleet/src/ibisport_fleet/prefix_watch.py
+++ b/packages/fleet/src/ibisport_fleet/prefix_watch.py
@@ -10,7 +10,7 @@
     StoreError,
     StoreUnavailable,
 )
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.store import Change, Listing, Store, WatchOptions
 from ibisport_fleet.store_contact import StoreContact
 from ibisport_fleet.watch_schedule import WatchSchedule
--- a/packages/fleet/src/ibisport_fleet/process.py
+++ b/packages/fleet/src/ibisport_fleet/process.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from ibisport_fleet.adapters import Adapters
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.relay import EXIT_MARGIN_SECONDS, Relay, RelayAdapters
 from ibisport_fleet.router import Router
 from ibisport_fleet.settings import HostSettings
--- a/packages/fleet/src/ibisport_fleet/readiness.py
+++ b/packages/fleet/src/ibisport_fleet/readiness.py
@@ -7,7 +7,7 @@
 from ibisport_fleet.channel import Channel
 from ibisport_fleet.connection_tasks import ConnectionTasks
 from ibisport_fleet.errors import FleetError
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.request_reader import RequestReader
 
 READY = b'HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n'
--- a/packages/fleet/src/ibisport_fleet/relay.py
+++ b/packages/fleet/src/ibisport_fleet/relay.py
@@ -24,7 +24,7 @@
     encode_body,
 )
 from ibisport_fleet.errors import FleetError, StoreError
-from ibisport_fleet.eventlog import EventLog
+from ibisport_fleet.event_log import EventLog
 from ibisport_fleet.http_connection import HttpConnection, open_http_connection
 from ibisport_fleet.http_messages import (
     AnswerHead,
--- a/packages/fleet/src/ibisport_fleet/request_recorder.py
+++ b/packages/fleet/src/ibisport_fleet/request_recorder.py
@@ -4,7 +4,7 @@
 
 from ibisport_fleet.budgets import TokensUnavailable
 from ibisport_fleet.calls import Call
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.metrics import Metrics
 from ibisport_fleet.target_choice import Candidate
 
--- a/packages/fleet/src/ibisport_fleet/store_transport.py
+++ b/packages/fleet/src/ibisport_fleet/store_transport.py
@@ -14,7 +14,7 @@
     StoreUnavailable,
     StoreUnknown,
 )
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.http_connection import (
     MAX_BODY_BYTES,
     HttpConnection,
--- a/packages/fleet/src/ibisport_fleet/target_limits.py
+++ b/packages/fleet/src/ibisport_fleet/target_limits.py
@@ -10,7 +10,7 @@
 
 from ibisport_fleet.calls import Call, draw_jittered_delay
 from ibisport_fleet.errors import PeerUnavailable
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.fleet_view import TargetView
 from ibisport_fleet.membership import Membership
 from ibisport_fleet.notices import Notifier
--- a/packages/fleet/src/ibisport_fleet/watch_cache.py
+++ b/packages/fleet/src/ibisport_fleet/watch_cache.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from ibisport_fleet.errors import StoreError, StoreUnavailable
-from ibisport_fleet.eventlog import Event, EventLog
+from ibisport_fleet.event_log import Event, EventLog
 from ibisport_fleet.store import Change, Item, Store, WatchOptions, WatchResult
 from ibisport_fleet.watch_schedule import WatchSchedule, plan_relay_watch
 
