--- a/features/steps/fairness_steps.py
+++ b/features/steps/fairness_steps.py
@@ -88,7 +88,7 @@
     def __init__(self):
         self.now = 0.0
         self.slots = 2
-        self.policy = FairPolicy(self.slots, FairOptions(most_queued=3))
+        self.policy = FairPolicy(self.slots, FairOptions(max_queued=3))
         self.waiting, self.running, self.ended = {}, {}, []
 
     def play(self, step):
@@ -312,7 +312,7 @@
 
 @given("a fair queue of {slots:d} slots that is full of one workspace's requests")
 def fill_queue(context, slots):
-    context.policy = FairPolicy(slots, FairOptions(most_queued=4))
+    context.policy = FairPolicy(slots, FairOptions(max_queued=4))
     for number in range(5):
         context.policy.enter(_make_ticket(_name(number), 'large'), 1)
         context.policy.take_turn(1)
--- a/packages/agent/src/ibisport_agent/internal/fairness.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness.py
@@ -51,7 +51,7 @@
         self._policy = policy
         self._clock = clock
         self._lock = threading.Lock()
-        self._places: dict[bytes, _Place] = {}
+        self._waiters: dict[bytes, _Waiter] = {}
 
     def enter(self, ticket: Ticket) -> None:
         """Queue a ticket, or refuse it at once.
@@ -66,16 +66,16 @@
             IdentityReused: A request of this id waits or runs.
         """
         with self._lock:
-            if ticket.request_id in self._places:
+            if ticket.request_id in self._waiters:
                 raise IdentityReused('a request of this id waits or runs')
             now = self._clock()
             if now >= ticket.deadline:
                 raise DeadlinePassed('it came after its deadline')
             dropped = self._policy.enter(ticket, now)
-            self._places[ticket.request_id] = _Place()
+            self._waiters[ticket.request_id] = _Waiter()
             for evicted in dropped:
-                self._tell(evicted)
-            self._give_turns(now)
+                self._apply_turn(evicted)
+            self._dispatch_turns(now)
 
     def wait_turn(self, ticket: Ticket, cancelled: threading.Event) -> None:
         """Block the request's own thread until it holds a slot.
@@ -90,7 +90,7 @@
             Overloaded: It was dropped, as its deadline cannot be met any more
                 or as a better claim needed its place; it did not run.
         """
-        place = self._places.get(ticket.request_id)
+        place = self._waiters.get(ticket.request_id)
         if place is None:
             raise RequestCancelled('it was withdrawn')
         while not place.decided.is_set() and not cancelled.is_set():
@@ -127,8 +127,8 @@
         with self._lock:
             if not self._policy.withdraw(request_id):
                 return False
-            self._places.pop(request_id).decide(RequestCancelled('it was withdrawn'))
-            self._give_turns(self._clock())
+            self._waiters.pop(request_id).decide(RequestCancelled('it was withdrawn'))
+            self._dispatch_turns(self._clock())
             return True
 
     def measure(self) -> QueueLoad:
@@ -140,13 +140,13 @@
         """Change how many requests may run at once; what runs goes on."""
         with self._lock:
             self._policy.resize(slots)
-            self._give_turns(self._clock())
+            self._dispatch_turns(self._clock())
 
     def _end_wait(
-        self, ticket: Ticket, place: '_Place', cancelled: threading.Event
+        self, ticket: Ticket, place: '_Waiter', cancelled: threading.Event
     ) -> None:
         if place.refusal is not None:
-            self._places.pop(ticket.request_id, None)
+            self._waiters.pop(ticket.request_id, None)
             return
         if cancelled.is_set():
             refusal: Refusal = RequestCancelled('it was cancelled')
@@ -158,29 +158,29 @@
             self._free_slot(ticket, 0, 0)
         else:
             self._policy.withdraw(ticket.request_id)
-            self._places.pop(ticket.request_id, None)
-            self._give_turns(self._clock())
+            self._waiters.pop(ticket.request_id, None)
+            self._dispatch_turns(self._clock())
         place.decide(refusal)
 
     def _free_slot(self, ticket: Ticket, used_tokens: int, seconds: float) -> None:
         now = self._clock()
-        self._places.pop(ticket.request_id, None)
+        self._waiters.pop(ticket.request_id, None)
         self._policy.leave(ticket, used_tokens, seconds, now)
-        self._give_turns(now)
+        self._dispatch_turns(now)
 
-    def _give_turns(self, now: float) -> None:
+    def _dispatch_turns(self, now: float) -> None:
         turn = self._policy.take_turn(now)
         while turn is not None:
-            self._tell(turn)
+            self._apply_turn(turn)
             turn = self._policy.take_turn(now)
 
-    def _tell(self, turn: Turn) -> None:
+    def _apply_turn(self, turn: Turn) -> None:
         match turn:
             case Started(ticket):
-                self._places[ticket.request_id].decide(None)
+                self._waiters[ticket.request_id].decide(None)
             case Dropped(ticket, refusal):
                 # Its thread takes the place out, also if it comes later.
-                self._places[ticket.request_id].decide(refusal)
+                self._waiters[ticket.request_id].decide(refusal)
 
 
 class FairQueue(TurnQueue):
@@ -213,7 +213,7 @@
         super().__init__(PlainPolicy(slots, FifoOrder()), clock)
 
 
-class _Place:
+class _Waiter:
     """Where the thread of one ticket waits."""
 
     def __init__(self) -> None:
--- a/packages/agent/src/ibisport_agent/internal/fairness_baseline.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_baseline.py
@@ -13,7 +13,7 @@
 )
 from ibisport_core.errors import DeadlinePassed, Overloaded
 
-MOST_QUEUED = 1024
+MAX_QUEUED = 1024
 
 
 class _Order(Protocol):
@@ -90,7 +90,7 @@
         Raises:
             Overloaded: The queue is full.
         """
-        if len(self._queued) >= MOST_QUEUED:
+        if len(self._queued) >= MAX_QUEUED:
             raise Overloaded('its queue is full', retry_at=now + 1)
         self._queued[ticket.request_id] = ticket
         self._order.add(ticket)
--- a/packages/agent/src/ibisport_agent/internal/fairness_policy.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_policy.py
@@ -15,7 +15,7 @@
     Shares,
     TrunkReserve,
     is_active,
-    share_slots,
+    compute_shares,
 )
 from ibisport_agent.internal.fairness_ticket import (
     Dropped,
@@ -26,10 +26,10 @@
 )
 from ibisport_core.errors import DeadlinePassed, Overloaded
 
-LEAST_RETRY_SECONDS = 0.25
-MOST_RETRY_SECONDS = 60
-IDLE_FLOWS = 1024
-SHARES_SECONDS = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.25
+MAX_RETRY_AFTER_SECONDS = 60
+FLOW_CLEANUP_THRESHOLD = 1024
+SHARES_INTERVAL_SECONDS = 0.1
 DEFAULT_RESERVE = TrunkReserve()
 
 
@@ -41,12 +41,12 @@
         reserve: How slots are kept free.
         head_start: Requests of mean size by which one step of priority goes
             before its virtual time.
-        most_queued: Bound on the waiting requests.
+        max_queued: Bound on the waiting requests.
     """
 
     reserve: Reserve = DEFAULT_RESERVE
     head_start: float = 2
-    most_queued: int = 1024
+    max_queued: int = 1024
 
 
 class FairPolicy:
@@ -81,13 +81,13 @@
         Raises:
             Overloaded: It did not run; come back at ``retry_at``.
         """
-        flow = self._touch_flow(ticket, now)
+        flow = self._record_arrival(ticket, now)
         self._refresh_shares(now)
         entry = flow.make_entry(ticket, self._entered, now)
         wait = self._estimate_wait(flow, entry, now)
-        ends = now + wait + self._rate.predict_longest(entry.expected)
+        ends = now + wait + self._rate.predict_max_seconds(entry.expected_tokens)
         if wait > 0 and ends > ticket.deadline:
-            raise self._refuse(flow, now, 'its deadline cannot be met')
+            raise self._make_refusal(flow, now, 'its deadline cannot be met')
         dropped = self._make_room(flow, now)
         self._entered += 1
         flow.push(entry)
@@ -110,11 +110,11 @@
             return None
         entry = flow.queued[0]
         del self._queued[entry.ticket.request_id]
-        late = self._find_lateness(flow, entry, now)
+        late = self._check_deadline(flow, entry, now)
         if late is not None:
             flow.remove(entry)
             return late
-        self._virtual_time = max(self._virtual_time, flow.tag)
+        self._virtual_time = max(self._virtual_time, flow.virtual_start)
         flow.start(entry)
         self._running[entry.ticket.request_id] = entry
         return Started(entry.ticket)
@@ -137,7 +137,7 @@
         self._rate.add(used_tokens, seconds)
         if not self._running and not self._queued:
             # The busy period ends: what was used in it counts no more.
-            tags = (flow.tag for flow in self._flows.values())
+            tags = (flow.virtual_start for flow in self._flows.values())
             self._virtual_time = max(self._virtual_time, *tags)
 
     def withdraw(self, request_id: bytes) -> bool:
@@ -163,57 +163,57 @@
         """Change how many requests may run at once; what runs goes on."""
         self._slots = max(slots, 1)
 
-    def _touch_flow(self, ticket: Ticket, now: float) -> Flow:
-        if len(self._flows) > IDLE_FLOWS:
-            self._forget_idle(now)
+    def _record_arrival(self, ticket: Ticket, now: float) -> Flow:
+        if len(self._flows) > FLOW_CLEANUP_THRESHOLD:
+            self._remove_idle_flows(now)
         flow = self._flows.setdefault(ticket.workspace, Flow(ticket.weight))
         flow.weight = ticket.weight
         flow.active_at = now
         flow.arrivals.add(1, now)
         if not flow.queued:
-            flow.tag = max(flow.tag, self._virtual_time)
+            flow.virtual_start = max(flow.virtual_start, self._virtual_time)
         return flow
 
-    def _forget_idle(self, now: float) -> None:
+    def _remove_idle_flows(self, now: float) -> None:
         kept = {
             workspace: flow
             for workspace, flow in self._flows.items()
-            if is_active(flow, now) or flow.tag > self._virtual_time
+            if is_active(flow, now) or flow.virtual_start > self._virtual_time
         }
-        if len(kept) > IDLE_FLOWS:
+        if len(kept) > FLOW_CLEANUP_THRESHOLD:
             kept = {
                 workspace: flow for workspace, flow in kept.items() if not flow.idle
             }
         self._flows = kept
 
-    def _rank(self, flow: Flow, entry: Entry) -> float:
+    def _compute_rank(self, flow: Flow, entry: Entry) -> float:
         step = self._options.head_start * self._rate.request_tokens
-        return flow.tag + entry.ticket.priority * step
+        return flow.virtual_start + entry.ticket.priority * step
 
     def _choose_flow(self, now: float) -> Flow | None:
         self._refresh_shares(now)
         ranked = [
-            (self._rank(flow, flow.queued[0]), flow.queued[0], flow)
+            (self._compute_rank(flow, flow.queued[0]), flow.queued[0], flow)
             for flow in self._flows.values()
             if flow.queued and self._may_start(flow)
         ]
         if not ranked:
             return None
-        return min(ranked, key=_first_two)[2]
+        return min(ranked, key=_get_sort_key)[2]
 
     def _may_start(self, flow: Flow) -> bool:
         if self._shares.may_always_start(flow):
             return True
         match self._options.reserve:
             case HoldLimit():
-                return flow.running < self._slots - self._shares.kept
+                return flow.running < self._slots - self._shares.reserved
             case _:
-                return self._slots - len(self._running) > self._shares.kept
+                return self._slots - len(self._running) > self._shares.reserved
 
     def _refresh_shares(self, now: float) -> None:
-        if now - self._shares.made_at < SHARES_SECONDS:
+        if now - self._shares.computed_at < SHARES_INTERVAL_SECONDS:
             return
-        self._shares = share_slots(
+        self._shares = compute_shares(
             self._options.reserve,
             self._slots,
             self._rate.hold_seconds,
@@ -228,53 +228,57 @@
         free = self._slots - len(self._running)
         if free > 0 and not flow.queued and self._may_start(flow):
             return 0
-        own = flow.count_before(entry)
-        rank = self._rank(flow, entry) + own / flow.weight
+        own = flow.sum_tokens_ahead(entry)
+        rank = self._compute_rank(flow, entry) + own / flow.weight
         others = 0.0
         for other in self._flows.values():
             if other.queued and other is not flow:
-                ahead = (rank - self._rank(other, other.queued[0])) * other.weight
+                ahead = (
+                    rank - self._compute_rank(other, other.queued[0])
+                ) * other.weight
                 others += min(max(ahead, 0), other.queued_tokens)
         departure = self._rate.hold_seconds / self._slots
-        drained = flow.drained.rate(now)
+        drained = flow.served_tokens.rate(now)
         if flow.heavy and drained > 0:
             # What is kept free is no capacity for it.
             departure = max(departure, own / drained - (own + others) / capacity)
         return (own + others) / capacity + departure
 
     def _make_room(self, flow: Flow, now: float) -> list[Dropped]:
-        if len(self._queued) < self._options.most_queued:
+        if len(self._queued) < self._options.max_queued:
             return []
-        largest = max(self._flows.values(), key=_weigh_queue)
+        largest = max(self._flows.values(), key=_compute_weighted_backlog)
         if largest is flow or not largest.queued:
-            raise self._refuse(flow, now, 'its queue is full')
+            raise self._make_refusal(flow, now, 'its queue is full')
         last = largest.queued[-1]
         self.withdraw(last.ticket.request_id)
-        refusal = self._refuse(largest, now, 'others have a better claim to the queue')
+        refusal = self._make_refusal(
+            largest, now, 'others have a better claim to the queue'
+        )
         return [Dropped(last.ticket, refusal)]
 
-    def _find_lateness(self, flow: Flow, entry: Entry, now: float) -> Dropped | None:
+    def _check_deadline(self, flow: Flow, entry: Entry, now: float) -> Dropped | None:
         ticket = entry.ticket
         if now >= ticket.deadline:
             return Dropped(ticket, DeadlinePassed('it waited until its deadline'))
-        ends = now + self._rate.predict_longest(entry.expected)
+        ends = now + self._rate.predict_max_seconds(entry.expected_tokens)
         if ends > ticket.deadline and self._queued:
-            refusal = self._refuse(flow, now, 'its deadline cannot be met')
+            refusal = self._make_refusal(flow, now, 'its deadline cannot be met')
             return Dropped(ticket, refusal)
         return None
 
-    def _refuse(self, flow: Flow, now: float, reason: str) -> Overloaded:
-        drained = flow.drained.rate(now)
+    def _make_refusal(self, flow: Flow, now: float, reason: str) -> Overloaded:
+        drained = flow.served_tokens.rate(now)
         if drained <= 0:
             drained = self._rate.tokens_per_second
         wait = flow.queued_tokens / drained if drained > 0 else 1
-        wait = min(max(wait, LEAST_RETRY_SECONDS), MOST_RETRY_SECONDS)
+        wait = min(max(wait, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
         return Overloaded(reason, retry_at=now + wait)
 
 
-def _first_two(ranked: tuple[float, Entry, Flow]) -> tuple[float, Entry]:
+def _get_sort_key(ranked: tuple[float, Entry, Flow]) -> tuple[float, Entry]:
     return ranked[0], ranked[1]
 
 
-def _weigh_queue(flow: Flow) -> float:
+def _compute_weighted_backlog(flow: Flow) -> float:
     return flow.queued_tokens / flow.weight
--- a/packages/agent/src/ibisport_agent/internal/fairness_rates.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_rates.py
@@ -3,7 +3,7 @@
 import math
 
 # Mean absolute errors above the mean: all of a uniform spread.
-ERRORS = 2
+MAX_MEAN_ERRORS = 2
 
 
 class DecayedSum:
@@ -80,9 +80,9 @@
         """Mean tokens a request uses; zero while unknown."""
         return self._tokens.mean
 
-    def predict_longest(self, tokens: float) -> float:
+    def predict_max_seconds(self, tokens: float) -> float:
         """Return the seconds that so many tokens hardly ever exceed."""
         speed = self.tokens_per_second
         if speed <= 0:
             return 0
-        return tokens / speed + ERRORS * self._error.mean
+        return tokens / speed + MAX_MEAN_ERRORS * self._error.mean
--- a/packages/agent/src/ibisport_agent/internal/fairness_reserve.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_reserve.py
@@ -13,7 +13,7 @@
 from ibisport_agent.internal.fairness_flow import Flow
 
 ACTIVE_SECONDS = 30
-MOST_LOAD = 0.99
+MAX_LIGHT_LOAD = 0.99
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,11 +38,11 @@
 
     Attributes:
         blocked: Part of the light requests that may have to wait.
-        most: Largest part of the slots that is kept free.
+        max_fraction: Largest part of the slots that is kept free.
     """
 
     blocked: float = 0.02
-    most: float = 0.5
+    max_fraction: float = 0.5
 
 
 Reserve = NoReserve | HoldLimit | TrunkReserve
@@ -55,14 +55,14 @@
     Attributes:
         level: Slots for each unit of weight up to which a demand is light.
         slots_per_weight: Slots that each unit of weight may always hold.
-        kept: Slots that are kept free.
-        made_at: Unix time in seconds.
+        reserved: Slots that are kept free.
+        computed_at: Unix time in seconds.
     """
 
     level: float = math.inf
     slots_per_weight: float = math.inf
-    kept: int = 0
-    made_at: float = -math.inf
+    reserved: int = 0
+    computed_at: float = -math.inf
 
     def may_always_start(self, flow: Flow) -> bool:
         """Tell whether the workspace may take any free slot."""
@@ -76,7 +76,7 @@
     return not flow.idle or now - flow.active_at < ACTIVE_SECONDS
 
 
-def share_slots(
+def compute_shares(
     reserve: Reserve,
     slots: int,
     hold_seconds: float,
@@ -95,7 +95,7 @@
     active = [flow for flow in flows if is_active(flow, now)]
     for flow in active:
         flow.measure_demand(hold_seconds, now)
-    level = find_level(active, slots)
+    level = compute_fair_level(active, slots)
     for flow in active:
         flow.heavy = flow.demand > flow.weight * level
     light = sum(flow.demand for flow in active if not flow.heavy)
@@ -103,12 +103,12 @@
     return Shares(
         level=level,
         slots_per_weight=slots / weights if weights else math.inf,
-        kept=_count_kept(reserve, slots, light / slots),
-        made_at=now,
+        reserved=_count_reserved(reserve, slots, light / slots),
+        computed_at=now,
     )
 
 
-def find_level(flows: Sequence[Flow], slots: float) -> float:
+def compute_fair_level(flows: Sequence[Flow], slots: float) -> float:
     """Return the slots for each unit of weight by max-min fairness.
 
     Args:
@@ -120,7 +120,7 @@
     """
     left = slots
     weights = sum(flow.weight for flow in flows)
-    for flow in sorted(flows, key=_weigh_demand):
+    for flow in sorted(flows, key=_compute_weighted_demand):
         if flow.demand * weights > left * flow.weight:
             return left / weights
         left -= flow.demand
@@ -128,7 +128,7 @@
     return math.inf
 
 
-def _count_kept(reserve: Reserve, slots: int, light_load: float) -> int:
+def _count_reserved(reserve: Reserve, slots: int, light_load: float) -> int:
     if light_load <= 0:
         return 0
     match reserve:
@@ -138,10 +138,14 @@
             return min(kept, slots - 1)
         case TrunkReserve(blocked, most):
             most_kept = int(slots * most)
-            return _find_kept(slots, min(light_load, MOST_LOAD), blocked, most_kept)
+            return _count_trunk_reserved(
+                slots, min(light_load, MAX_LIGHT_LOAD), blocked, most_kept
+            )
 
 
-def _find_kept(slots: int, light_load: float, blocked: float, most: int) -> int:
+def _count_trunk_reserved(
+    slots: int, light_load: float, blocked: float, most: int
+) -> int:
     # Heavy requests take each slot above those kept, so that the free ones are
     # a birth-death chain: down by a light arrival, up by a departure of one of
     # the others. The weights are of its states, that of no free slot being one;
@@ -157,5 +161,5 @@
     return kept
 
 
-def _weigh_demand(flow: Flow) -> float:
+def _compute_weighted_demand(flow: Flow) -> float:
     return flow.demand / flow.weight
