--- a/features/fairness.feature
+++ b/features/fairness.feature
@@ -1,16 +1,16 @@
-Feature: The queue of a target is fair, bounded and loses nothing
+Feature: The queue of a target is fair and bounded and loses no ticket
 
-  Scenario: Any history starts no more than the slots and loses no ticket
+  Scenario: Any history respects the number of slots and loses no ticket
     When any history of arrivals, departures, withdrawals and resizes is played
     Then each start found a free slot and each ticket ended exactly once
 
-  Scenario: Every waiting thread ends in its turn, a refusal or a withdrawal
+  Scenario: Every waiting thread ends with a slot, a refusal or a withdrawal
     Given a fair queue of 3 slots
-    When 60 threads wait for it, some withdrawn, some cancelled, some out of time
+    When 60 threads wait for it, some withdrawn, some cancelled, some timed out
     Then no more than 3 ran at once and every thread ended
-    And all those ran that nothing kept from it
-    And those that did not run are told so
-    And one that is cancelled with a slot in hand frees it
+    And every other request ran
+    And every refusal states that the request did not run
+    And a request that is cancelled while it holds a slot frees it
 
   Scenario: Workspaces that always wait are served by their weights
     When any workspaces with any weights and costs wait all the time
@@ -19,8 +19,8 @@
   Scenario: A full queue refuses the large workspace, not the small one
     Given a fair queue of 1 slots that is full of one workspace's requests
     When a request of another workspace comes
-    Then it is queued, and the last of the large one is refused with a time to retry
-    And the next of the large one is refused at once
+    Then it is queued, and the last of the large workspace is refused with a time to retry
+    And the next of the large workspace is refused at once
 
   Scenario: A request whose deadline cannot be met is refused at once
     Given a fair queue of 1 slots whose requests take 2 seconds, with 5 waiting
@@ -28,12 +28,12 @@
     Then it is refused as overloaded and not run, with a time to retry
     And a request with a deadline in 60 seconds is queued
 
-  Scenario: Small workspaces hardly feel a neighbour of a hundred times its share
+  Scenario: Small workspaces stay fast beside one that sends a hundred times its share
     Given small workspaces that use 0.45 of the capacity
-    When a large one sends 100 times its share in virtual time
-    Then the small ones' p95 first token is within 1.25 of what it is alone
-    And behind a first-come queue it is not
+    When a large workspace sends 100 times its share in virtual time
+    Then the small ones' p95 first token is within 1.25 times its value without the large one
+    And with a first-come, first-served queue it is not
 
-  Scenario: Twice the capacity brings as many tokens in time as once
-    When ten workspaces send once and twice the capacity in virtual time
+  Scenario: A load of twice the capacity yields as many tokens in time as one at capacity
+    When ten workspaces send one and two times the capacity in virtual time
     Then the tokens in time differ by no more than a tenth
--- a/features/steps/fairness_steps.py
+++ b/features/steps/fairness_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the queue of a target: fairness, bounds and endings."""
+"""Steps for the queue of a target: fairness, bounds and outcomes."""
 
 import threading
 import time
@@ -22,36 +22,36 @@
 ANY_HISTORY = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=100
 )
-FAR = 1e12
-PLAIN, CANCELLED, WITHDRAWN, HURRIED = range(4)
+FAR_DEADLINE = 1e12
+PLAIN, CANCELLED, WITHDRAWN, SHORT_DEADLINE = range(4)
 SIMULATED_SECONDS = 200
-WARM_UP = 30
+WARM_UP_SECONDS = 30
 
 
 @dataclass(frozen=True)
 class Enter:
-    """A request comes."""
+    """A request arrives."""
 
     workspace: str
     priority: int
     weight: float
     cost: int
-    patience: float
+    timeout: float
 
 
 @dataclass(frozen=True)
 class Leave:
-    """A running one ends."""
+    """A running request ends."""
 
-    place: int
+    index: int
     used: int
 
 
 @dataclass(frozen=True)
 class Withdraw:
-    """A waiting one is withdrawn."""
+    """A waiting request is withdrawn."""
 
-    place: int
+    index: int
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
 
 
 WORKSPACES = strategies.sampled_from(['tengeri', 'kenangan', 'darkhan'])
-PLACES = strategies.integers(0, 30)
+INDEXES = strategies.integers(0, 30)
 ENTERS = strategies.builds(
     Enter,
     WORKSPACES,
@@ -75,15 +75,15 @@
     ENTERS,
     ENTERS,
     ENTERS,
-    strategies.builds(Leave, PLACES, strategies.integers(0, 500)),
-    strategies.builds(Withdraw, PLACES),
+    strategies.builds(Leave, INDEXES, strategies.integers(0, 500)),
+    strategies.builds(Withdraw, INDEXES),
     strategies.builds(Resize, strategies.integers(1, 5)),
 )
 HISTORIES = strategies.lists(STEPS, min_size=20, max_size=60)
 
 
 class History:
-    """Plays steps on a policy and keeps books of its own."""
+    """Applies steps to a policy and tracks the expected state."""
 
     def __init__(self):
         self.now = 0.0
@@ -92,62 +92,68 @@
         self.waiting, self.running, self.ended = {}, {}, []
 
     def play(self, step):
-        """Take one step and check the counts."""
+        """Apply one step and check the counts."""
         self.now += 0.3
         match step:
             case Enter():
                 self._enter(step)
-            case Leave(place, used) if self.running:
-                name = sorted(self.running)[place % len(self.running)]
-                self.policy.leave(self.running.pop(name), used, 1.5, self.now)
-                self.ended.append(name)
-            case Withdraw(place) if self.waiting:
-                name = sorted(self.waiting)[place % len(self.waiting)]
-                assert self.policy.withdraw(name)
-                self._end(name)
+            case Leave(index, used) if self.running:
+                request_id = sorted(self.running)[index % len(self.running)]
+                self.policy.leave(self.running.pop(request_id), used, 1.5, self.now)
+                self.ended.append(request_id)
+            case Withdraw(index) if self.waiting:
+                request_id = sorted(self.waiting)[index % len(self.waiting)]
+                assert self.policy.withdraw(request_id)
+                self._end(request_id)
             case Resize(slots):
                 self.slots = slots
                 self.policy.resize(slots)
         self._take_turns()
-        self.check_books()
+        self.check_counts()
 
-    def check_books(self):
-        """Compare the policy's counts with those kept here."""
+    def check_counts(self):
+        """Compare the policy's counts with the tracked state."""
         load = self.policy.measure()
         assert (load.running, load.queued) == (len(self.running), len(self.waiting))
 
     def _enter(self, step):
         known = (*self.ended, *self.waiting, *self.running)
-        name = str(len(known)).encode()
-        deadline = self.now + step.patience
+        request_id = str(len(known)).encode()
+        deadline = self.now + step.timeout
         ticket = Ticket(
-            name, step.workspace, 'any', step.priority, step.weight, step.cost, deadline
+            request_id,
+            step.workspace,
+            'any',
+            step.priority,
+            step.weight,
+            step.cost,
+            deadline,
         )
         try:
             dropped = self.policy.enter(ticket, self.now)
         except Overloaded as refusal:
             assert refusal.statement is Statement.did_not_run
             assert refusal.retry_at > self.now
-            self.ended.append(name)
+            self.ended.append(request_id)
             return
-        self.waiting[name] = ticket
+        self.waiting[request_id] = ticket
         for evicted in dropped:
             self._end(evicted.ticket.request_id)
 
     def _take_turns(self):
         turn = self.policy.take_turn(self.now)
         while turn is not None:
-            name = turn.ticket.request_id
+            request_id = turn.ticket.request_id
             if isinstance(turn, Started):
                 assert len(self.running) < self.slots
-                self.running[name] = self.waiting.pop(name)
+                self.running[request_id] = self.waiting.pop(request_id)
             else:
-                self._end(name)
+                self._end(request_id)
             turn = self.policy.take_turn(self.now)
 
-    def _end(self, name):
-        del self.waiting[name]
-        self.ended.append(name)
+    def _end(self, request_id):
+        del self.waiting[request_id]
+        self.ended.append(request_id)
 
 
 @when('any history of arrivals, departures, withdrawals and resizes is played')
@@ -178,9 +184,9 @@
     context.queue = FairQueue(slots)
 
 
-@when('{count:d} threads wait for it, some withdrawn, some cancelled, some out of time')
+@when('{count:d} threads wait for it, some withdrawn, some cancelled, some timed out')
 def run_threads(context, count):
-    context.endings, context.most, context.now_running = {}, 0, 0
+    context.outcomes, context.max_running, context.now_running = {}, 0, 0
     context.lock = threading.Lock()
     cancels = [threading.Event() for _ in range(count)]
     threads = [
@@ -193,46 +199,46 @@
         if _find_kind(number) == CANCELLED:
             cancel.set()
         if _find_kind(number) == WITHDRAWN:
-            context.queue.withdraw(_name(number))
+            context.queue.withdraw(_make_request_id(number))
     for thread in threads:
         thread.join(30)
     context.alive = sum(thread.is_alive() for thread in threads)
 
 
 def _find_kind(number):
-    # Only the first few, so that the turns of the rest come from departures.
+    # Only the first 20, so that the other requests get their slots from departures.
     return number % 4 if number < 20 else PLAIN
 
 
 def _wait_and_run(context, number, cancel):
-    patience = 0.05 if _find_kind(number) == HURRIED else 10
-    ticket = _make_ticket(_name(number), 'w', deadline=time.time() + patience)
+    timeout = 0.05 if _find_kind(number) == SHORT_DEADLINE else 10
+    ticket = _make_ticket(_make_request_id(number), 'w', deadline=time.time() + timeout)
     try:
         context.queue.enter(ticket)
         context.queue.wait_turn(ticket, cancel)
     except Refusal as refusal:
-        context.endings[number] = refusal
+        context.outcomes[number] = refusal
         return
     with context.lock:
         context.now_running += 1
-        context.most = max(context.most, context.now_running)
+        context.max_running = max(context.max_running, context.now_running)
     time.sleep(0.01)
     with context.lock:
         context.now_running -= 1
     context.queue.leave(ticket, 10, 0.01)
-    context.endings[number] = None
+    context.outcomes[number] = None
 
 
 @then('no more than {slots:d} ran at once and every thread ended')
 def check_threads(context, slots):
-    assert 0 < context.most <= slots
+    assert 0 < context.max_running <= slots
     assert not context.alive
-    assert len(context.endings) == 60
+    assert len(context.outcomes) == 60
     load = context.queue.measure()
     assert (load.running, load.queued) == (0, 0)
 
 
-@then('one that is cancelled with a slot in hand frees it')
+@then('a request that is cancelled while it holds a slot frees it')
 def check_freed(context):
     cancelled = threading.Event()
     cancelled.set()
@@ -244,18 +250,18 @@
     except RequestCancelled:
         assert context.queue.measure().running == 0
         return
-    raise AssertionError('it kept the slot')
+    raise AssertionError('the slot was not freed')
 
 
-@then('all those ran that nothing kept from it')
+@then('every other request ran')
 def check_ran(context):
-    plain = [number for number in context.endings if _find_kind(number) == PLAIN]
-    assert {context.endings[number] for number in plain} == {None}
+    plain = [number for number in context.outcomes if _find_kind(number) == PLAIN]
+    assert {context.outcomes[number] for number in plain} == {None}
 
 
-@then('those that did not run are told so')
-def check_told(context):
-    refusals = [ending for ending in context.endings.values() if ending is not None]
+@then('every refusal states that the request did not run')
+def check_statements(context):
+    refusals = [outcome for outcome in context.outcomes.values() if outcome is not None]
     statements = {refusal.statement for refusal in refusals}
     assert statements <= {Statement.did_not_run}
 
@@ -296,25 +302,25 @@
 
 def _make_backlogs(backlogs):
     return [
-        _make_ticket(f'{number}-{place}'.encode(), f'{number}', weight, cost)
+        _make_ticket(f'{number}-{index}'.encode(), f'{number}', weight, cost)
         for number, (weight, costs) in enumerate(backlogs)
-        for place, cost in enumerate(costs)
+        for index, cost in enumerate(costs)
     ]
 
 
 def _check_bound(served, backlogs):
     largest = [max(costs) / weight for weight, costs in backlogs]
-    most = max(served, key=served.get)
-    least = min(served, key=served.get)
-    bound = largest[int(most)] + largest[int(least)]
-    assert served[most] - served[least] <= bound + 1e-6
+    leading = max(served, key=served.get)
+    trailing = min(served, key=served.get)
+    bound = largest[int(leading)] + largest[int(trailing)]
+    assert served[leading] - served[trailing] <= bound + 1e-6
 
 
 @given("a fair queue of {slots:d} slots that is full of one workspace's requests")
 def fill_queue(context, slots):
     context.policy = FairPolicy(slots, FairOptions(max_queued=4))
     for number in range(5):
-        context.policy.enter(_make_ticket(_name(number), 'large'), 1)
+        context.policy.enter(_make_ticket(_make_request_id(number), 'large'), 1)
         context.policy.take_turn(1)
     assert context.policy.measure().queued == 4
 
@@ -324,20 +330,22 @@
     context.dropped = context.policy.enter(_make_ticket(b'small', 'small'), 2)
 
 
-@then('it is queued, and the last of the large one is refused with a time to retry')
+@then(
+    'it is queued, and the last of the large workspace is refused with a time to retry'
+)
 def check_evicted(context):
     assert len(context.dropped) == 1
     dropped = context.dropped[0]
-    assert dropped.ticket.request_id == _name(4)
+    assert dropped.ticket.request_id == _make_request_id(4)
     assert dropped.refusal.statement is Statement.did_not_run
     assert dropped.refusal.retry_at > 2
     assert context.policy.withdraw(b'small')
     context.policy.enter(_make_ticket(b'small', 'small'), 2)
 
 
-@then('the next of the large one is refused at once')
+@then('the next of the large workspace is refused at once')
 def check_large_refused(context):
-    refusal = _enter_and_fail(context.policy, _make_ticket(b'more', 'large'), 2)
+    refusal = _enter_refused(context.policy, _make_ticket(b'more', 'large'), 2)
     assert refusal.retry_at > 2
 
 
@@ -348,12 +356,12 @@
 def make_slow_queue(context, slots, seconds, count):
     context.policy = FairPolicy(slots)
     for number in range(10):
-        ticket = _make_ticket(_name(number), 'w')
+        ticket = _make_ticket(_make_request_id(number), 'w')
         context.policy.enter(ticket, 1)
         context.policy.take_turn(1)
         context.policy.leave(ticket, 100, seconds, 1)
     for waiting in range(slots + count):
-        context.policy.enter(_make_ticket(_name(100 + waiting), 'w'), 1)
+        context.policy.enter(_make_ticket(_make_request_id(100 + waiting), 'w'), 1)
         context.policy.take_turn(1)
     assert context.policy.measure().queued == count
 
@@ -361,7 +369,7 @@
 @when('a request comes with a deadline in {seconds:d} seconds')
 def enter_hurried(context, seconds):
     ticket = _make_ticket(b'hurried', 'w', deadline=1 + seconds)
-    context.refusal = _enter_and_fail(context.policy, ticket, 1)
+    context.refusal = _enter_refused(context.policy, ticket, 1)
 
 
 @then('it is refused as overloaded and not run, with a time to retry')
@@ -382,7 +390,7 @@
     context.small = experiment.make_small(load)
 
 
-@when('a large one sends {factor:d} times its share in virtual time')
+@when('a large workspace sends {factor:d} times its share in virtual time')
 def run_beside_large(context, factor):
     sources = experiment.add_large(context.small, factor)
     plain = PlainPolicy(SLOTS, FifoOrder())
@@ -391,24 +399,27 @@
     context.plain = _measure_p95(plain, sources)
 
 
-@then("the small ones' p95 first token is within {ratio:f} of what it is alone")
+@then(
+    "the small ones' p95 first token is within {ratio:f} times its value"
+    ' without the large one'
+)
 def check_ratio(context, ratio):
     context.bound = context.alone * ratio
     assert context.beside <= context.bound, (context.beside, context.alone)
 
 
-@then('behind a first-come queue it is not')
+@then('with a first-come, first-served queue it is not')
 def check_plain(context):
     assert context.plain > context.bound
 
 
-@when('ten workspaces send once and twice the capacity in virtual time')
+@when('ten workspaces send one and two times the capacity in virtual time')
 def run_overload(context):
     context.tokens = {}
     for factor in (1, 2):
         rate = factor * CAPACITY / 10
         sources = [Source(f'equal-{number}', rate) for number in range(10)]
-        run = TargetRun(FairPolicy(SLOTS), 1, SIMULATED_SECONDS, WARM_UP)
+        run = TargetRun(FairPolicy(SLOTS), 1, SIMULATED_SECONDS, WARM_UP_SECONDS)
         context.tokens[factor] = run.run(sources).tokens_in_time
 
 
@@ -418,21 +429,21 @@
 
 
 def _measure_p95(policy, sources):
-    run = TargetRun(policy, 1, SIMULATED_SECONDS, WARM_UP).run(sources)
+    run = TargetRun(policy, 1, SIMULATED_SECONDS, WARM_UP_SECONDS).run(sources)
     return compute_percentile(experiment.gather([run], 'first_tokens'), 95)
 
 
-def _enter_and_fail(policy, ticket, now):
+def _enter_refused(policy, ticket, now):
     try:
         policy.enter(ticket, now)
     except Refusal as refusal:
         return refusal
-    raise AssertionError('it was queued')
+    raise AssertionError('the ticket was queued')
 
 
-def _name(number):
+def _make_request_id(number):
     return number.to_bytes(16, 'big')
 
 
-def _make_ticket(name, workspace, weight=1, cost=100, deadline=FAR):
-    return Ticket(name, workspace, 'any', 0, weight, cost, deadline)
+def _make_ticket(request_id, workspace, weight=1, cost=100, deadline=FAR_DEADLINE):
+    return Ticket(request_id, workspace, 'any', 0, weight, cost, deadline)
--- a/packages/agent/src/ibisport_agent/internal/fairness.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness.py
@@ -1,7 +1,8 @@
-"""The door of a target: requests wait here, each in its own thread.
+"""Admission queue of a target; each request waits in its own thread.
 
-The policy decides under a lock who is next and never blocks; a request waits on
-an event of its own, so that a departure wakes only those whose turn came.
+The policy chooses the next request under a lock and never blocks. Each request
+waits on its own event, so a departure wakes only the threads that it starts or
+drops.
 """
 
 import threading
@@ -27,21 +28,22 @@
 
 __all__ = ('FairOptions', 'FairQueue', 'FifoQueue', 'QueueLoad', 'Ticket', 'TurnQueue')
 
-# How late a set ``cancelled`` event may be seen; ``withdraw`` is seen at once, so
-# a run that is cancelled withdraws too. At 0.1 s, 250 waiting threads kept an
-# agent at 0.95 of a core and small workspaces waited seconds (MEASUREMENTS).
+# Maximum delay before a waiting thread sees its ``cancelled`` event. ``withdraw``
+# takes effect at once, so a cancelled run also withdraws its ticket. At 0.1 s, 250
+# waiting threads kept an agent at 0.95 of a core, and requests of small workspaces
+# waited for seconds (MEASUREMENTS).
 CANCEL_CHECK_SECONDS = 2.0
 
 
 class TurnQueue:
     """A queue of threads in front of the slots of one target.
 
-    A ticket is entered once; then its thread calls ``wait_turn``, and after its
-    return exactly one ``leave``. Every ticket ends in one of these: its turn, a
-    refusal, a withdrawal.
+    A ticket is entered once. Its thread then calls ``wait_turn`` and, after that
+    returns, calls ``leave`` exactly once. Every ticket ends with a slot, a refusal
+    or a withdrawal.
 
     Args:
-        policy: Decides who is next.
+        policy: Chooses the next ticket.
         clock: Unix time in seconds.
     """
 
@@ -57,13 +59,13 @@
         """Queue a ticket, or refuse it at once.
 
         Args:
-            ticket: What wants a slot.
+            ticket: Request for a slot.
 
         Raises:
-            Overloaded: Its deadline cannot be met, or the queue is full; it did
-                not run and may come back at ``retry_at``.
-            DeadlinePassed: Its deadline is already over.
-            IdentityReused: A request of this id waits or runs.
+            Overloaded: The deadline cannot be met, or the queue is full; the
+                request did not run and may be retried at ``retry_at``.
+            DeadlinePassed: The deadline has already passed.
+            IdentityReused: A request with this id is waiting or running.
         """
         with self._lock:
             if ticket.request_id in self._waiters:
@@ -78,51 +80,53 @@
             self._dispatch_turns(now)
 
     def wait_turn(self, ticket: Ticket, cancelled: threading.Event) -> None:
-        """Block the request's own thread until it holds a slot.
+        """Block the calling thread until the ticket holds a slot.
 
         Args:
             ticket: A ticket that was entered.
-            cancelled: Set when the request is wanted no more.
+            cancelled: Set when the request is cancelled.
 
         Raises:
-            DeadlinePassed: The deadline came first; it did not run.
-            RequestCancelled: It was cancelled or withdrawn; it did not run.
-            Overloaded: It was dropped, as its deadline cannot be met any more
-                or as a better claim needed its place; it did not run.
+            DeadlinePassed: The deadline passed first; the request did not run.
+            RequestCancelled: The request was cancelled or withdrawn; it did not
+                run.
+            Overloaded: The ticket was dropped because its deadline can no longer
+                be met or because a ticket of another workspace was queued in
+                its place; the request did not run.
         """
-        place = self._waiters.get(ticket.request_id)
-        if place is None:
+        waiter = self._waiters.get(ticket.request_id)
+        if waiter is None:
             raise RequestCancelled('it was withdrawn')
-        while not place.decided.is_set() and not cancelled.is_set():
-            left = ticket.deadline - self._clock()
-            if left <= 0:
+        while not waiter.decided.is_set() and not cancelled.is_set():
+            remaining = ticket.deadline - self._clock()
+            if remaining <= 0:
                 break
-            place.decided.wait(min(left, CANCEL_CHECK_SECONDS))
+            waiter.decided.wait(min(remaining, CANCEL_CHECK_SECONDS))
         with self._lock:
-            self._end_wait(ticket, place, cancelled)
-        if place.refusal is not None:
-            raise place.refusal
+            self._end_wait(ticket, waiter, cancelled)
+        if waiter.refusal is not None:
+            raise waiter.refusal
 
     def leave(self, ticket: Ticket, used_tokens: int, seconds: float) -> None:
-        """Free the slot after ``wait_turn`` returned.
+        """Free the slot after ``wait_turn`` has returned.
 
         Args:
             ticket: The ticket that holds the slot.
-            used_tokens: Prompt and output tokens that were used; zero when
-                nothing can be learned from it.
-            seconds: How long the target worked on it.
+            used_tokens: Prompt and output tokens used; zero leaves the measured
+                rates unchanged.
+            seconds: Time that the target spent on the request.
         """
         with self._lock:
             self._free_slot(ticket, used_tokens, seconds)
 
     def withdraw(self, request_id: bytes) -> bool:
-        """Take a ticket out that has no slot yet.
+        """Remove a ticket that has no slot yet.
 
         Args:
             request_id: Identity of the request.
 
         Returns:
-            Whether it was waiting; its thread then gets ``RequestCancelled``.
+            Whether it was waiting; its thread then raises ``RequestCancelled``.
         """
         with self._lock:
             if not self._policy.withdraw(request_id):
@@ -132,35 +136,35 @@
             return True
 
     def measure(self) -> QueueLoad:
-        """Return the load of now."""
+        """Return the current load."""
         with self._lock:
             return self._policy.measure()
 
     def resize(self, slots: int) -> None:
-        """Change how many requests may run at once; what runs goes on."""
+        """Change how many requests may run at once; running ones continue."""
         with self._lock:
             self._policy.resize(slots)
             self._dispatch_turns(self._clock())
 
     def _end_wait(
-        self, ticket: Ticket, place: '_Waiter', cancelled: threading.Event
+        self, ticket: Ticket, waiter: '_Waiter', cancelled: threading.Event
     ) -> None:
-        if place.refusal is not None:
+        if waiter.refusal is not None:
             self._waiters.pop(ticket.request_id, None)
             return
         if cancelled.is_set():
             refusal: Refusal = RequestCancelled('it was cancelled')
-        elif place.decided.is_set():
+        elif waiter.decided.is_set():
             return
         else:
             refusal = DeadlinePassed('it waited until its deadline')
-        if place.decided.is_set():
+        if waiter.decided.is_set():
             self._free_slot(ticket, 0, 0)
         else:
             self._policy.withdraw(ticket.request_id)
             self._waiters.pop(ticket.request_id, None)
             self._dispatch_turns(self._clock())
-        place.decide(refusal)
+        waiter.decide(refusal)
 
     def _free_slot(self, ticket: Ticket, used_tokens: int, seconds: float) -> None:
         now = self._clock()
@@ -179,17 +183,17 @@
             case Started(ticket):
                 self._waiters[ticket.request_id].decide(None)
             case Dropped(ticket, refusal):
-                # Its thread takes the place out, also if it comes later.
+                # Its thread removes the waiter, even if ``wait_turn`` is called later.
                 self._waiters[ticket.request_id].decide(refusal)
 
 
 class FairQueue(TurnQueue):
-    """Fair to workspaces by weight in tokens; see ``FairPolicy``.
+    """A queue that shares tokens among workspaces by weight; see ``FairPolicy``.
 
     Args:
         slots: Requests that may run at once.
         clock: Unix time in seconds.
-        options: Constants of the policy.
+        options: Parameters of the policy.
     """
 
     def __init__(
@@ -202,7 +206,7 @@
 
 
 class FifoQueue(TurnQueue):
-    """First come, first served: the baseline.
+    """First come, first served; the baseline for measurements.
 
     Args:
         slots: Requests that may run at once.
@@ -214,7 +218,7 @@
 
 
 class _Waiter:
-    """Where the thread of one ticket waits."""
+    """The outcome that the thread of one ticket waits for."""
 
     def __init__(self) -> None:
         self.decided = threading.Event()
--- a/packages/agent/src/ibisport_agent/internal/fairness_baseline.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_baseline.py
@@ -1,4 +1,4 @@
-"""Plain queues with the fair queue's interface, to measure it against."""
+"""Baseline queue policies, to measure the fair queue against."""
 
 from collections import OrderedDict, deque
 from typing import Protocol
@@ -25,7 +25,7 @@
 
 
 class FifoOrder:
-    """First come, first served over all workspaces."""
+    """First come, first served across all workspaces."""
 
     def __init__(self) -> None:
         self._tickets: OrderedDict[bytes, Ticket] = OrderedDict()
@@ -35,16 +35,16 @@
         self._tickets[ticket.request_id] = ticket
 
     def remove_first(self) -> Ticket:
-        """Take the next ticket out."""
+        """Remove and return the next ticket."""
         return self._tickets.popitem(last=False)[1]
 
     def remove(self, ticket: Ticket) -> None:
-        """Take any ticket out."""
+        """Remove a queued ticket."""
         del self._tickets[ticket.request_id]
 
 
 class RoundRobinOrder:
-    """One request of each workspace in turn, whatever its size."""
+    """One request of each workspace in turn, regardless of its size."""
 
     def __init__(self) -> None:
         self._queues: OrderedDict[str, deque[Ticket]] = OrderedDict()
@@ -54,7 +54,7 @@
         self._queues.setdefault(ticket.workspace, deque()).append(ticket)
 
     def remove_first(self) -> Ticket:
-        """Take the next ticket out and put its workspace last."""
+        """Remove and return the next ticket; its workspace goes last."""
         workspace, queue = self._queues.popitem(last=False)
         ticket = queue.popleft()
         if queue:
@@ -62,7 +62,7 @@
         return ticket
 
     def remove(self, ticket: Ticket) -> None:
-        """Take any ticket out."""
+        """Remove a queued ticket."""
         queue = self._queues[ticket.workspace]
         queue.remove(ticket)
         if not queue:
@@ -74,7 +74,7 @@
 
     Args:
         slots: Requests that may run at once.
-        order: Who is next.
+        order: Chooses the next ticket.
     """
 
     def __init__(self, slots: int, order: _Order) -> None:
@@ -97,7 +97,7 @@
         return []
 
     def take_turn(self, now: float) -> Turn | None:
-        """Start or drop the next ticket; None when nothing can change."""
+        """Start or drop the next ticket; None when no slot is free or none waits."""
         if len(self._running) >= self._slots or not self._queued:
             return None
         ticket = self._order.remove_first()
@@ -115,7 +115,7 @@
         self._rate.add(used_tokens, seconds)
 
     def withdraw(self, request_id: bytes) -> bool:
-        """Remove a waiting ticket and tell whether it was waiting."""
+        """Remove a waiting ticket; return whether it was waiting."""
         ticket = self._queued.pop(request_id, None)
         if ticket is None:
             return False
@@ -123,7 +123,7 @@
         return True
 
     def measure(self) -> QueueLoad:
-        """Return the load of now."""
+        """Return the current load."""
         return QueueLoad(
             running=len(self._running),
             queued=len(self._queued),
@@ -133,5 +133,5 @@
         )
 
     def resize(self, slots: int) -> None:
-        """Change how many requests may run at once; what runs goes on."""
+        """Change how many requests may run at once; running ones continue."""
         self._slots = max(slots, 1)
--- a/packages/agent/src/ibisport_agent/internal/fairness_flow.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_flow.py
@@ -8,13 +8,14 @@
 
 RATE_TIME_CONSTANT_SECONDS = 30
 MIN_SAMPLE_WEIGHT = 0.05
-# A request passes one of the next better priority after this wait.
+# A request goes ahead of one that is one priority step better and arrives later by
+# more than this.
 PRIORITY_STEP_SECONDS = 10
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Entry:
-    """A waiting ticket, ordered by arrival with a head start by priority."""
+    """A waiting ticket, ordered by its arrival time plus a delay for its priority."""
 
     order: float
     number: int
@@ -23,19 +24,20 @@
 
 
 class Flow:
-    """One workspace: its queue, its virtual time and its measured rates.
+    """Queue, virtual time and measured rates of one workspace.
 
     Attributes:
         weight: Weight of the workspace.
-        virtual_start: Virtual start time of the next request, tokens over weight.
+        virtual_start: Virtual start time of the next request, in tokens divided by
+            the weight.
         running: Requests that hold a slot.
-        queued: Waiting entries, the next first.
+        queued: Waiting entries in the order of service.
         queued_tokens: Expected tokens of the waiting entries.
         active_at: Unix time of the last arrival or departure.
-        arrivals: Requests that came, also refused ones.
-        served_tokens: Tokens that were used.
+        arrivals: Decayed count of arrivals, including refused requests.
+        served_tokens: Decayed sum of the tokens used.
         demand: Slots that the arrivals would hold, as last measured.
-        heavy: Whether the demand was above the workspace's level then.
+        heavy: Whether that demand exceeded the fair level of the workspace.
     """
 
     def __init__(self, weight: float) -> None:
@@ -53,33 +55,36 @@
         self._usage_ratio = MovingMean(MIN_SAMPLE_WEIGHT, initial=1)
 
     def estimate_tokens(self, ticket: Ticket) -> float:
-        """Return the tokens the ticket will use, by what earlier ones used."""
+        """Return the tokens that the ticket is expected to use.
+
+        The estimate scales the cost by the mean of used tokens to cost.
+        """
         return max(ticket.cost * self._usage_ratio.mean, 1)
 
     def make_entry(self, ticket: Ticket, number: int, now: float) -> Entry:
-        """Return the entry that the ticket would wait as."""
+        """Return a queue entry for the ticket."""
         order = now + ticket.priority * PRIORITY_STEP_SECONDS
         return Entry(order, number, ticket, self.estimate_tokens(ticket))
 
     def push(self, entry: Entry) -> None:
-        """Queue an entry at its place."""
+        """Insert an entry in order."""
         bisect.insort(self.queued, entry)
         self.queued_tokens += entry.expected_tokens
 
     def remove(self, entry: Entry) -> None:
-        """Take a queued entry out."""
+        """Remove a queued entry."""
         self.queued.pop(bisect.bisect_left(self.queued, entry))
         self.queued_tokens -= entry.expected_tokens
 
     def sum_tokens_ahead(self, entry: Entry) -> float:
-        """Return the expected tokens of what goes before the entry."""
-        place = bisect.bisect_left(self.queued, entry)
-        if place == len(self.queued):
+        """Return the expected tokens of the entries ahead of this one."""
+        index = bisect.bisect_left(self.queued, entry)
+        if index == len(self.queued):
             return self.queued_tokens
-        return sum(ahead.expected_tokens for ahead in self.queued[:place])
+        return sum(ahead.expected_tokens for ahead in self.queued[:index])
 
     def start(self, entry: Entry) -> None:
-        """Charge the head of the queue and let it run."""
+        """Move the head of the queue to running and charge its expected tokens."""
         self.remove(entry)
         self.running += 1
         self.virtual_start += entry.expected_tokens / self.weight
@@ -87,7 +92,7 @@
     def finish(
         self, entry: Entry, used_tokens: int, seconds: float, now: float
     ) -> None:
-        """Free the slot, put the charge right and learn from it."""
+        """Free the slot, correct the charge and update the measured means."""
         self.running -= 1
         self.active_at = now
         self.virtual_start += (used_tokens - entry.expected_tokens) / self.weight
@@ -96,18 +101,22 @@
             self._usage_ratio.add(used_tokens / max(entry.ticket.cost, 1))
             self._hold_seconds.add(seconds)
 
-    def measure_demand(self, usual_hold: float, now: float) -> None:
-        """Work out how many slots the arrivals of late would hold.
+    def measure_demand(self, default_hold_seconds: float, now: float) -> None:
+        """Measure how many slots the recent arrivals would hold.
 
         Args:
-            usual_hold: Seconds a request holds a slot, where this workspace has
-                none measured yet.
+            default_hold_seconds: Time that a request holds a slot, used until this
+                workspace has a measurement.
             now: Unix time in seconds.
         """
-        hold = self._hold_seconds.mean if self._hold_seconds.samples else usual_hold
-        self.demand = self.arrivals.rate(now) * hold
+        hold_seconds = (
+            self._hold_seconds.mean
+            if self._hold_seconds.samples
+            else default_hold_seconds
+        )
+        self.demand = self.arrivals.rate(now) * hold_seconds
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of the workspace waits or runs."""
+        """Whether the workspace has no waiting or running request."""
         return not self.queued and not self.running
--- a/packages/agent/src/ibisport_agent/internal/fairness_policy.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_policy.py
@@ -1,8 +1,8 @@
 """Start-time fair queueing over workspaces, by tokens and weight.
 
-Each workspace has a virtual start time that grows by the tokens it uses over
-its weight; the smallest goes next. The virtual time of the queue is that of the
-request started last, so that an idle workspace saves up no claim.
+Each workspace has a virtual start time that grows by the tokens it uses divided
+by its weight; the smallest goes next. The virtual time of the queue is that of
+the request started last, so an idle workspace accumulates no credit.
 """
 
 from dataclasses import dataclass
@@ -14,8 +14,8 @@
     Reserve,
     Shares,
     TrunkReserve,
-    is_active,
     compute_shares,
+    is_active,
 )
 from ibisport_agent.internal.fairness_ticket import (
     Dropped,
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FairOptions:
-    """Constants of the fair queue.
+    """Parameters of the fair queue.
 
     Attributes:
-        reserve: How slots are kept free.
-        head_start: Requests of mean size by which one step of priority goes
-            before its virtual time.
-        max_queued: Bound on the waiting requests.
+        reserve: How slots are reserved for light workspaces.
+        head_start: Advance in virtual time of one priority step over the next,
+            in requests of mean size.
+        max_queued: Bound on the number of waiting requests.
     """
 
     reserve: Reserve = DEFAULT_RESERVE
@@ -50,11 +50,11 @@
 
 
 class FairPolicy:
-    """Order, bounds and refusals of one target's queue.
+    """Fair ordering, bounds and refusals for the queue of one target.
 
     Args:
         slots: Requests that may run at once.
-        options: Constants.
+        options: Parameters of the policy.
     """
 
     def __init__(self, slots: int, options: FairOptions | None = None) -> None:
@@ -72,21 +72,21 @@
         """Queue a ticket, or refuse it when its deadline cannot be met.
 
         Args:
-            ticket: What wants a slot; its request id is not known yet.
+            ticket: Request for a slot; its request id must not be in use.
             now: Unix time in seconds.
 
         Returns:
-            Tickets of the largest queue that made room.
+            Tickets evicted from the largest queue to make room.
 
         Raises:
-            Overloaded: It did not run; come back at ``retry_at``.
+            Overloaded: The request did not run; retry at ``retry_at``.
         """
         flow = self._record_arrival(ticket, now)
         self._refresh_shares(now)
         entry = flow.make_entry(ticket, self._entered, now)
         wait = self._estimate_wait(flow, entry, now)
-        ends = now + wait + self._rate.predict_max_seconds(entry.expected_tokens)
-        if wait > 0 and ends > ticket.deadline:
+        ends_at = now + wait + self._rate.predict_max_seconds(entry.expected_tokens)
+        if wait > 0 and ends_at > ticket.deadline:
             raise self._make_refusal(flow, now, 'its deadline cannot be met')
         dropped = self._make_room(flow, now)
         self._entered += 1
@@ -101,7 +101,8 @@
             now: Unix time in seconds.
 
         Returns:
-            What happened; None when no slot is free or nobody may take it.
+            The ticket started or dropped; None when no ticket waits, no slot is free
+            or no workspace may take one.
         """
         if len(self._running) >= self._slots or not self._queued:
             return None
@@ -110,10 +111,10 @@
             return None
         entry = flow.queued[0]
         del self._queued[entry.ticket.request_id]
-        late = self._check_deadline(flow, entry, now)
-        if late is not None:
+        dropped = self._check_deadline(flow, entry, now)
+        if dropped is not None:
             flow.remove(entry)
-            return late
+            return dropped
         self._virtual_time = max(self._virtual_time, flow.virtual_start)
         flow.start(entry)
         self._running[entry.ticket.request_id] = entry
@@ -122,12 +123,12 @@
     def leave(
         self, ticket: Ticket, used_tokens: int, seconds: float, now: float
     ) -> None:
-        """Free the slot, charge the actual tokens and learn the rates.
+        """Free the slot, charge the actual tokens and update the rates.
 
         Args:
-            ticket: A started ticket; an unknown one changes nothing.
-            used_tokens: Tokens that were used; zero teaches nothing.
-            seconds: How long the slot was held.
+            ticket: A started ticket; an unknown one is ignored.
+            used_tokens: Tokens used; zero leaves the measured rates unchanged.
+            seconds: Time that the slot was held.
             now: Unix time in seconds.
         """
         entry = self._running.pop(ticket.request_id, None)
@@ -136,12 +137,12 @@
         self._flows[ticket.workspace].finish(entry, used_tokens, seconds, now)
         self._rate.add(used_tokens, seconds)
         if not self._running and not self._queued:
-            # The busy period ends: what was used in it counts no more.
-            tags = (flow.virtual_start for flow in self._flows.values())
-            self._virtual_time = max(self._virtual_time, *tags)
+            # The busy period ends: usage within it no longer counts.
+            starts = (flow.virtual_start for flow in self._flows.values())
+            self._virtual_time = max(self._virtual_time, *starts)
 
     def withdraw(self, request_id: bytes) -> bool:
-        """Remove a waiting ticket and tell whether it was waiting."""
+        """Remove a waiting ticket; return whether it was waiting."""
         entry = self._queued.pop(request_id, None)
         if entry is None:
             return False
@@ -149,7 +150,7 @@
         return True
 
     def measure(self) -> QueueLoad:
-        """Return the load of now."""
+        """Return the current load."""
         tokens = sum(flow.queued_tokens for flow in self._flows.values())
         return QueueLoad(
             running=len(self._running),
@@ -160,7 +161,7 @@
         )
 
     def resize(self, slots: int) -> None:
-        """Change how many requests may run at once; what runs goes on."""
+        """Change how many requests may run at once; running ones continue."""
         self._slots = max(slots, 1)
 
     def _record_arrival(self, ticket: Ticket, now: float) -> Flow:
@@ -175,16 +176,16 @@
         return flow
 
     def _remove_idle_flows(self, now: float) -> None:
-        kept = {
+        retained = {
             workspace: flow
             for workspace, flow in self._flows.items()
             if is_active(flow, now) or flow.virtual_start > self._virtual_time
         }
-        if len(kept) > FLOW_CLEANUP_THRESHOLD:
-            kept = {
-                workspace: flow for workspace, flow in kept.items() if not flow.idle
+        if len(retained) > FLOW_CLEANUP_THRESHOLD:
+            retained = {
+                workspace: flow for workspace, flow in retained.items() if not flow.idle
             }
-        self._flows = kept
+        self._flows = retained
 
     def _compute_rank(self, flow: Flow, entry: Entry) -> float:
         step = self._options.head_start * self._rate.request_tokens
@@ -225,24 +226,28 @@
         capacity = self._rate.tokens_per_second * self._slots
         if capacity <= 0:
             return 0
-        free = self._slots - len(self._running)
-        if free > 0 and not flow.queued and self._may_start(flow):
+        free_slots = self._slots - len(self._running)
+        if free_slots > 0 and not flow.queued and self._may_start(flow):
             return 0
-        own = flow.sum_tokens_ahead(entry)
-        rank = self._compute_rank(flow, entry) + own / flow.weight
-        others = 0.0
+        own_tokens = flow.sum_tokens_ahead(entry)
+        rank = self._compute_rank(flow, entry) + own_tokens / flow.weight
+        other_tokens = 0.0
         for other in self._flows.values():
             if other.queued and other is not flow:
                 ahead = (
                     rank - self._compute_rank(other, other.queued[0])
                 ) * other.weight
-                others += min(max(ahead, 0), other.queued_tokens)
-        departure = self._rate.hold_seconds / self._slots
-        drained = flow.served_tokens.rate(now)
-        if flow.heavy and drained > 0:
-            # What is kept free is no capacity for it.
-            departure = max(departure, own / drained - (own + others) / capacity)
-        return (own + others) / capacity + departure
+                other_tokens += min(max(ahead, 0), other.queued_tokens)
+        departure_seconds = self._rate.hold_seconds / self._slots
+        token_rate = flow.served_tokens.rate(now)
+        if flow.heavy and token_rate > 0:
+            # Reserved slots are not available to a heavy workspace, so its queue drains
+            # at the rate at which its own requests are served.
+            departure_seconds = max(
+                departure_seconds,
+                own_tokens / token_rate - (own_tokens + other_tokens) / capacity,
+            )
+        return (own_tokens + other_tokens) / capacity + departure_seconds
 
     def _make_room(self, flow: Flow, now: float) -> list[Dropped]:
         if len(self._queued) < self._options.max_queued:
@@ -261,17 +266,17 @@
         ticket = entry.ticket
         if now >= ticket.deadline:
             return Dropped(ticket, DeadlinePassed('it waited until its deadline'))
-        ends = now + self._rate.predict_max_seconds(entry.expected_tokens)
-        if ends > ticket.deadline and self._queued:
+        ends_at = now + self._rate.predict_max_seconds(entry.expected_tokens)
+        if ends_at > ticket.deadline and self._queued:
             refusal = self._make_refusal(flow, now, 'its deadline cannot be met')
             return Dropped(ticket, refusal)
         return None
 
     def _make_refusal(self, flow: Flow, now: float, reason: str) -> Overloaded:
-        drained = flow.served_tokens.rate(now)
-        if drained <= 0:
-            drained = self._rate.tokens_per_second
-        wait = flow.queued_tokens / drained if drained > 0 else 1
+        token_rate = flow.served_tokens.rate(now)
+        if token_rate <= 0:
+            token_rate = self._rate.tokens_per_second
+        wait = flow.queued_tokens / token_rate if token_rate > 0 else 1
         wait = min(max(wait, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
         return Overloaded(reason, retry_at=now + wait)
 
--- a/packages/agent/src/ibisport_agent/internal/fairness_reserve.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_reserve.py
@@ -1,9 +1,9 @@
-"""Slots kept free for the workspaces whose demand is small.
+"""Slots reserved for the workspaces whose demand is small.
 
-A slot is held for a whole generation, so that a flood that fills all slots
-makes a newcomer wait for a departure whatever the order of the queue is. A
-workspace is heavy when its demand is above the level at which all demands
-below it fit the slots together; what is kept free is kept from the heavy.
+A request holds its slot for a whole generation, so when a burst fills all slots,
+a new request waits for a departure in any queue order. A workspace is heavy when
+its demand exceeds its max-min fair share of the slots, and light otherwise.
+Heavy workspaces may not take the reserved slots.
 """
 
 import math
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldLimit:
-    """A heavy workspace holds at most all slots but some, beside light ones.
+    """A heavy workspace may not hold the last slots while light ones are active.
 
     Attributes:
-        slots: Slots that one workspace may not take.
+        slots: Slots that one heavy workspace may not hold.
     """
 
     slots: int
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TrunkReserve:
-    """The last free slots are kept from heavy workspaces, beside light ones.
+    """The last free slots are reserved while light workspaces are active.
 
     Attributes:
-        blocked: Part of the light requests that may have to wait.
-        max_fraction: Largest part of the slots that is kept free.
+        blocked: Accepted fraction of light requests that have to wait.
+        max_fraction: Largest fraction of the slots that may be reserved.
     """
 
     blocked: float = 0.02
@@ -50,12 +50,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """How the slots are shared; computed now and then.
+    """How the slots are shared; recomputed periodically.
 
     Attributes:
-        level: Slots for each unit of weight up to which a demand is light.
-        slots_per_weight: Slots that each unit of weight may always hold.
-        reserved: Slots that are kept free.
+        level: Slots per unit of weight up to which a demand is light.
+        slots_per_weight: Slots per unit of weight that a workspace may always
+            hold.
+        reserved: Slots that heavy workspaces may not take.
         computed_at: Unix time in seconds.
     """
 
@@ -65,14 +66,14 @@
     computed_at: float = -math.inf
 
     def may_always_start(self, flow: Flow) -> bool:
-        """Tell whether the workspace may take any free slot."""
+        """Return whether the workspace may take any free slot."""
         if flow.running < flow.weight * self.slots_per_weight:
             return True
         return not flow.heavy and flow.running < flow.weight * self.level
 
 
 def is_active(flow: Flow, now: float) -> bool:
-    """Tell whether the workspace waits, runs or did so lately."""
+    """Return whether the workspace has requests now or had some recently."""
     return not flow.idle or now - flow.active_at < ACTIVE_SECONDS
 
 
@@ -86,7 +87,7 @@
     """Measure the demands, mark the heavy workspaces and return the shares.
 
     Args:
-        reserve: The way of reserving.
+        reserve: How slots are reserved.
         slots: Slots of the target.
         hold_seconds: Mean time that a request holds a slot.
         flows: Known workspaces.
@@ -98,33 +99,33 @@
     level = compute_fair_level(active, slots)
     for flow in active:
         flow.heavy = flow.demand > flow.weight * level
-    light = sum(flow.demand for flow in active if not flow.heavy)
-    weights = sum(flow.weight for flow in active)
+    light_demand = sum(flow.demand for flow in active if not flow.heavy)
+    total_weight = sum(flow.weight for flow in active)
     return Shares(
         level=level,
-        slots_per_weight=slots / weights if weights else math.inf,
-        reserved=_count_reserved(reserve, slots, light / slots),
+        slots_per_weight=slots / total_weight if total_weight else math.inf,
+        reserved=_count_reserved(reserve, slots, light_demand / slots),
         computed_at=now,
     )
 
 
 def compute_fair_level(flows: Sequence[Flow], slots: float) -> float:
-    """Return the slots for each unit of weight by max-min fairness.
+    """Return the max-min fair slots per unit of weight.
 
     Args:
         flows: Workspaces with measured demands.
         slots: Slots to share.
 
     Returns:
-        Infinity when all demands fit.
+        Slots per unit of weight; infinity when all demands fit.
     """
-    left = slots
-    weights = sum(flow.weight for flow in flows)
+    remaining = slots
+    total_weight = sum(flow.weight for flow in flows)
     for flow in sorted(flows, key=_compute_weighted_demand):
-        if flow.demand * weights > left * flow.weight:
-            return left / weights
-        left -= flow.demand
-        weights -= flow.weight
+        if flow.demand * total_weight > remaining * flow.weight:
+            return remaining / total_weight
+        remaining -= flow.demand
+        total_weight -= flow.weight
     return math.inf
 
 
@@ -134,31 +135,31 @@
     match reserve:
         case NoReserve():
             return 0
-        case HoldLimit(kept):
-            return min(kept, slots - 1)
-        case TrunkReserve(blocked, most):
-            most_kept = int(slots * most)
+        case HoldLimit(limit):
+            return min(limit, slots - 1)
+        case TrunkReserve(blocked, max_fraction):
+            max_reserved = int(slots * max_fraction)
             return _count_trunk_reserved(
-                slots, min(light_load, MAX_LIGHT_LOAD), blocked, most_kept
+                slots, min(light_load, MAX_LIGHT_LOAD), blocked, max_reserved
             )
 
 
 def _count_trunk_reserved(
-    slots: int, light_load: float, blocked: float, most: int
+    slots: int, light_load: float, blocked: float, max_reserved: int
 ) -> int:
-    # Heavy requests take each slot above those kept, so that the free ones are
-    # a birth-death chain: down by a light arrival, up by a departure of one of
-    # the others. The weights are of its states, that of no free slot being one;
-    # behind it are the states in which light requests wait.
+    # Heavy requests take every free slot above the reserved ones, so the number of
+    # free slots is a birth-death chain: a light arrival lowers it, a departure
+    # from a busy slot raises it. Each state has a weight relative to that of no free
+    # slot, which is 1; ``waiting`` adds to it the states in which light requests wait.
     waiting = 1 / (1 - light_load)
     weight = 1.0
     free = 0.0
-    kept = 0
-    while kept < most and waiting > blocked * (waiting + free):
-        weight *= (slots - kept) / (light_load * slots)
+    reserved = 0
+    while reserved < max_reserved and waiting > blocked * (waiting + free):
+        weight *= (slots - reserved) / (light_load * slots)
         free += weight
-        kept += 1
-    return kept
+        reserved += 1
+    return reserved
 
 
 def _compute_weighted_demand(flow: Flow) -> float:
--- a/packages/agent/src/ibisport_agent/internal/fairness_ticket.py
+++ b/packages/agent/src/ibisport_agent/internal/fairness_ticket.py
@@ -1,4 +1,4 @@
-"""What waits at a target, what a queue policy answers, and its interface."""
+"""Tickets of a target's queue, the outcomes of a turn and the policy interface."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """One request that waits for a slot of the target.
+    """A request that waits for or holds a slot of the target.
 
     Attributes:
         request_id: Identity of the request, 16 bytes.
-        workspace: Workspace that is served and charged.
+        workspace: Workspace that is charged for the request.
         class_name: Class of the request in the catalogue.
         priority: Lower goes first.
         weight: Weight of the workspace, above zero.
-        cost: Prompt tokens and the most output tokens.
+        cost: Prompt tokens plus the maximum of output tokens.
         deadline: Unix time in seconds.
     """
 
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueLoad:
-    """Load of one target as its queue sees it.
+    """Load of one target as measured by its queue.
 
     Attributes:
         running: Requests that hold a slot.
         queued: Requests that wait.
-        queued_tokens: Tokens that are expected of the waiting requests.
+        queued_tokens: Tokens that the waiting requests are expected to use.
         slots: Requests that may run at once.
-        token_rate: Tokens a second with all slots taken, by recent requests;
-            zero while none has ended.
+        token_rate: Tokens per second with all slots taken, measured on recent
+            requests; zero until one has ended.
     """
 
     running: int
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The ticket holds a slot from now on."""
+    """The ticket was given a slot."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """The ticket left the queue with a refusal; it did not run."""
+    """The ticket was removed from the queue with a refusal; it did not run."""
 
     ticket: Ticket
     refusal: Refusal
@@ -68,17 +68,17 @@
 
 
 class QueuePolicy(Protocol):
-    """Decides who is next; without locks, threads or a clock of its own."""
+    """Chooses the next ticket; has no locks, threads or clock of its own."""
 
     def enter(self, ticket: Ticket, now: float) -> list[Dropped]:
-        """Queue a ticket and return those that made room for it.
+        """Queue a ticket and return those evicted to make room for it.
 
         Raises:
             Overloaded: The ticket was not queued.
         """
 
     def take_turn(self, now: float) -> Turn | None:
-        """Start or drop one waiting ticket; None when nothing can change."""
+        """Start or drop one waiting ticket; None when neither is possible."""
 
     def leave(
         self, ticket: Ticket, used_tokens: int, seconds: float, now: float
@@ -86,10 +86,10 @@
         """Free the slot of a started ticket."""
 
     def withdraw(self, request_id: bytes) -> bool:
-        """Remove a waiting ticket and tell whether it was waiting."""
+        """Remove a waiting ticket; return whether it was waiting."""
 
     def measure(self) -> QueueLoad:
-        """Return the load of now."""
+        """Return the current load."""
 
     def resize(self, slots: int) -> None:
         """Change how many requests may run at once."""
