--- a/features/steps/fairness_steps.py
+++ b/features/steps/fairness_steps.py
@@ -98,13 +98,13 @@
             case Enter():
                 self._enter(step)
             case Leave(index, used) if self.running:
-                request_id = sorted(self.running)[index % len(self.running)]
-                self.policy.leave(self.running.pop(request_id), used, 1.5, self.now)
-                self.ended.append(request_id)
+                ticket_id = sorted(self.running)[index % len(self.running)]
+                self.policy.leave(self.running.pop(ticket_id), used, 1.5, self.now)
+                self.ended.append(ticket_id)
             case Withdraw(index) if self.waiting:
-                request_id = sorted(self.waiting)[index % len(self.waiting)]
-                assert self.policy.withdraw(request_id)
-                self._end(request_id)
+                ticket_id = sorted(self.waiting)[index % len(self.waiting)]
+                assert self.policy.withdraw(ticket_id)
+                self._end(ticket_id)
             case Resize(slots):
                 self.slots = slots
                 self.policy.resize(slots)
@@ -118,10 +118,10 @@
 
     def _enter(self, step):
         known = (*self.ended, *self.waiting, *self.running)
-        request_id = str(len(known)).encode()
+        ticket_id = str(len(known)).encode()
         deadline = self.now + step.timeout
         ticket = Ticket(
-            request_id,
+            ticket_id,
             step.workspace,
             'any',
             step.priority,
@@ -134,26 +134,26 @@
         except Overloaded as refusal:
             assert refusal.statement is Statement.did_not_run
             assert refusal.retry_at > self.now
-            self.ended.append(request_id)
+            self.ended.append(ticket_id)
             return
-        self.waiting[request_id] = ticket
+        self.waiting[ticket_id] = ticket
         for evicted in dropped:
             self._end(evicted.ticket.request_id)
 
     def _take_turns(self):
         turn = self.policy.take_turn(self.now)
         while turn is not None:
-            request_id = turn.ticket.request_id
+            ticket_id = turn.ticket.request_id
             if isinstance(turn, Started):
                 assert len(self.running) < self.slots
-                self.running[request_id] = self.waiting.pop(request_id)
+                self.running[ticket_id] = self.waiting.pop(ticket_id)
             else:
-                self._end(request_id)
+                self._end(ticket_id)
             turn = self.policy.take_turn(self.now)
 
-    def _end(self, request_id):
-        del self.waiting[request_id]
-        self.ended.append(request_id)
+    def _end(self, ticket_id):
+        del self.waiting[ticket_id]
+        self.ended.append(ticket_id)
 
 
 @when('any history of arrivals, departures, withdrawals and resizes is played')
