--- a/packages/agent/src/ibisport_agent/agent.py
+++ b/packages/agent/src/ibisport_agent/agent.py
@@ -9,7 +9,7 @@
 from ibisport_agent.internal.fairness import FairQueue
 from ibisport_agent.internal.routerlink import RouterLink
 from ibisport_agent.internal.runmetrics import RunMetrics
-from ibisport_agent.internal.runs import Equipment
+from ibisport_agent.internal.runs import RunResources
 from ibisport_agent.internal.runtable import RunTable
 from ibisport_agent.internal.target import TargetClient
 from ibisport_core.errors import FrameInvalid, LinkClosed
@@ -21,8 +21,8 @@
 from ibisport_core.metrics import Metrics, StatusServer
 from ibisport_core.settings import AgentSettings
 
-_SWEEP_SECONDS = 0.5
-_STOP_CHECK_SECONDS = 0.05
+_SWEEP_INTERVAL_SECONDS = 0.5
+_STOP_POLL_SECONDS = 0.05
 
 
 class Agent:
@@ -42,7 +42,7 @@
         self.target = TargetClient(settings.target_address, settings.slots * 2)
         observer = RunMetrics(self.metrics, settings.target)
         self.runs = RunTable(
-            Equipment(self.queue, self.target, self.charges, observer),
+            RunResources(self.queue, self.target, self.charges, observer),
             settings.keep_answers,
             settings.answer_bytes,
         )
@@ -68,7 +68,7 @@
     def start(self) -> None:
         """Serve in threads of its own."""
         self._status.start()
-        for work in (self._accept_links, self._beat, self._sweep):
+        for work in (self._accept_links, self._send_heartbeats, self._sweep):
             threading.Thread(target=work, name=work.__name__, daemon=True).start()
         log_event(
             Event.process_started,
@@ -98,7 +98,7 @@
         self.drain('the agent stops')
         deadline = time.monotonic() + self.settings.grace
         while time.monotonic() < deadline and self.runs.count_open():
-            time.sleep(_STOP_CHECK_SECONDS)
+            time.sleep(_STOP_POLL_SECONDS)
         for link in self.list_links():
             link.drain(time.monotonic() + 1)
             link.close()
@@ -180,7 +180,7 @@
             link.close()
             self.remove_link(link)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while not self._listener_closed():
             heartbeat = Heartbeat(
                 read_micros(), self.measure_load(), self.view.revision
@@ -192,7 +192,7 @@
     def _sweep(self) -> None:
         while not self._listener_closed():
             self.runs.sweep(self.settings.resume_within)
-            time.sleep(_SWEEP_SECONDS)
+            time.sleep(_SWEEP_INTERVAL_SECONDS)
 
     def _listener_closed(self) -> bool:
         return self._listener.fileno() < 0
--- a/packages/agent/src/ibisport_agent/internal/answers.py
+++ b/packages/agent/src/ibisport_agent/internal/answers.py
@@ -13,13 +13,13 @@
     """
 
     length: int = 0
-    _pieces: list[bytes] = field(default_factory=list)
+    _chunks: list[bytes] = field(default_factory=list)
     _offsets: list[int] = field(default_factory=list)
 
     def append(self, payload: bytes) -> int:
         """Add bytes and return the offset of their first."""
         offset = self.length
-        self._pieces.append(payload)
+        self._chunks.append(payload)
         self._offsets.append(offset)
         self.length += len(payload)
         return offset
@@ -29,5 +29,5 @@
         if offset >= self.length:
             return b''
         index = bisect.bisect_right(self._offsets, offset) - 1
-        first = self._pieces[index][offset - self._offsets[index] :]
-        return b''.join((first, *self._pieces[index + 1 :]))
+        first = self._chunks[index][offset - self._offsets[index] :]
+        return b''.join((first, *self._chunks[index + 1 :]))
--- a/packages/agent/src/ibisport_agent/internal/entry.py
+++ b/packages/agent/src/ibisport_agent/internal/entry.py
@@ -26,7 +26,7 @@
         self.checks_fencing = False
         self._lock = threading.Lock()
 
-    def take(self, update: CatalogueUpdate) -> bool:
+    def apply_update(self, update: CatalogueUpdate) -> bool:
         """Take news in.
 
         Args:
@@ -39,12 +39,12 @@
         with self._lock:
             for entry in update.entries:
                 if entry.key == self.key and entry.revision > self.revision:
-                    self._read(entry.document)
+                    self._apply_document(entry.document)
                     self.revision = entry.revision
                     changed = True
         return changed
 
-    def _read(self, document: bytes) -> None:
+    def _apply_document(self, document: bytes) -> None:
         if not document:
             self.state = 'retired'
             return
--- a/packages/agent/src/ibisport_agent/internal/feed.py
+++ b/packages/agent/src/ibisport_agent/internal/feed.py
@@ -22,7 +22,7 @@
     Submit,
 )
 
-_PIECE_BYTES = 1024 * 1024
+_MAX_CHUNK_BYTES = 1024 * 1024
 End = Finished | Refused
 
 
@@ -74,7 +74,7 @@
             self._subscribers = [one for one in self._subscribers if one != subscriber]
             self._orphaned_at = 0
             _send(subscriber, accepted)
-            self._send_known(subscriber, submit.offset)
+            self._send_backlog(subscriber, submit.offset)
             self._subscribers.append(subscriber)
 
     def unsubscribe(self, link: Link) -> None:
@@ -111,12 +111,12 @@
             # A leaving agent closes its links once no run is open.
             self.ended_at = time.time()
 
-    def _send_known(self, subscriber: _Subscriber, offset: int) -> None:
+    def _send_backlog(self, subscriber: _Subscriber, offset: int) -> None:
         if self.head is not None:
             _send(subscriber, replace(self.head, attempt=subscriber.attempt))
         missing = self._answer.read_from(offset)
-        for start in range(0, len(missing), _PIECE_BYTES):
-            piece = missing[start : start + _PIECE_BYTES]
+        for start in range(0, len(missing), _MAX_CHUNK_BYTES):
+            piece = missing[start : start + _MAX_CHUNK_BYTES]
             attempt = subscriber.attempt
             _send(subscriber, Chunk(self._request_id, attempt, offset + start, piece))
         if self.end is not None:
--- a/packages/agent/src/ibisport_agent/internal/routerlink.py
+++ b/packages/agent/src/ibisport_agent/internal/routerlink.py
@@ -48,15 +48,15 @@
             LinkClosed: The link ended.
             FrameInvalid: The peer sent no frame.
         """
-        self._greet()
+        self._perform_handshake()
         self._agent.add_link(self._link)
         while True:
             self._handle(self._link.receive())
 
-    def _greet(self) -> None:
+    def _perform_handshake(self) -> None:
         hello = self._link.receive()
         try:
-            self._check(hello)
+            self._check_hello(hello)
         except (PeerRejected, SchemaMismatch) as error:
             log_event(Event.link_refused, peer=self._link.peer, code=error.code)
             raise LinkClosed(str(error)) from error
@@ -72,7 +72,7 @@
             )
         )
 
-    def _check(self, hello: Message) -> None:
+    def _check_hello(self, hello: Message) -> None:
         if not isinstance(hello, Hello):
             raise PeerRejected('no hello')
         if hello.schema_version != SCHEMA_VERSION:
@@ -84,34 +84,34 @@
     def _handle(self, message: Message) -> None:
         match message:
             case Submit():
-                self._submit(message)
+                self._handle_submit(message)
             case Cancel():
                 self._agent.runs.cancel(message)
             case Release(request_id=request_id):
-                self._release(request_id)
+                self._handle_release(request_id)
             case Settled():
                 self._agent.charges.settle(message)
             case Fence():
-                self._fence(message)
+                self._handle_fence(message)
             case CatalogueUpdate():
-                self._take_update(message)
+                self._handle_update(message)
             case Heartbeat():
                 pass  # its bytes have shown that the router lives
             case _:
                 log_event(Event.frame_refused, peer=self._link.peer)
 
-    def _submit(self, submit: Submit) -> None:
+    def _handle_submit(self, submit: Submit) -> None:
         try:
             self._agent.runs.submit(submit, self._link)
         except Refusal as refusal:
             self._link.send(make_refused(submit, refusal))
 
-    def _release(self, request_id: bytes) -> None:
+    def _handle_release(self, request_id: bytes) -> None:
         run = self._agent.runs.find(request_id)
         if run is not None:
             run.released = True
 
-    def _fence(self, fence: Fence) -> None:
+    def _handle_fence(self, fence: Fence) -> None:
         agent = self._agent
         agent.charges.fence(fence.session)
         agent.runs.withdraw_session(fence.session)
@@ -120,9 +120,9 @@
         report = FenceReport(fence.session, fence.call, agent.session, records)
         self._link.send(report)
 
-    def _take_update(self, update: CatalogueUpdate) -> None:
+    def _handle_update(self, update: CatalogueUpdate) -> None:
         agent = self._agent
-        if not agent.view.take(update):
+        if not agent.view.apply_update(update):
             return
         if agent.view.state == 'live':
             agent.resume()
--- a/packages/agent/src/ibisport_agent/internal/runmetrics.py
+++ b/packages/agent/src/ibisport_agent/internal/runmetrics.py
@@ -20,7 +20,7 @@
         self._metrics = metrics
         self._target = target
 
-    def note_finished(self, submit: Submit, finished: Finished) -> None:
+    def record_finished(self, submit: Submit, finished: Finished) -> None:
         """Count a run that ended with an answer, whole or not."""
         labels = {'workspace': submit.workspace, 'class': submit.class_name}
         waited = make_seconds(finished.queue_micros)
@@ -30,7 +30,7 @@
         if not finished.complete:
             self._metrics.count('ibisport_broken_answers_total', labels)
 
-    def note_refused(self, submit: Submit, refusal: Refusal) -> None:
+    def record_refused(self, submit: Submit, refusal: Refusal) -> None:
         """Count a run that was given up before the target answered."""
         labels = {'workspace': submit.workspace, 'code': refusal.code}
         self._metrics.count('ibisport_refusals_total', labels)
--- a/packages/agent/src/ibisport_agent/internal/runs.py
+++ b/packages/agent/src/ibisport_agent/internal/runs.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Equipment:
+class RunResources:
     """What all runs of an agent share."""
 
     queue: TurnQueue
@@ -50,7 +50,7 @@
 class Run:
     """A request that this agent was given, from its queue to its last byte."""
 
-    def __init__(self, submit: Submit, equipment: Equipment) -> None:
+    def __init__(self, submit: Submit, equipment: RunResources) -> None:
         """Prepare a run; ``start`` begins it.
 
         Args:
@@ -63,7 +63,7 @@
         )
         self.feed = Feed(submit.request_id)
         self.released = False
-        self._equipment = equipment
+        self._resources = equipment
         self._cancelled = threading.Event()
         self._billed = False
         self._target_answer: TargetAnswer | None = None
@@ -99,7 +99,7 @@
     def start(self) -> None:
         """Begin the work in a thread of its own."""
         name = f'run-{self.submit.request_id.hex()[:8]}'
-        threading.Thread(target=self._work, name=name, daemon=True).start()
+        threading.Thread(target=self._execute, name=name, daemon=True).start()
 
     def subscribe(self, link: Link, submit: Submit) -> None:
         """Send the answer to a router, from the offset it names on.
@@ -121,15 +121,15 @@
         """
         self._billed = billed
         self._cancelled.set()
-        self._equipment.queue.withdraw(self.submit.request_id)
+        self._resources.queue.withdraw(self.submit.request_id)
         answer = self._target_answer
         if answer is not None:
             answer.abort()
 
-    def _work(self) -> None:
+    def _execute(self) -> None:
         started_at = time.time()
         try:
-            self._take_turn()
+            self._wait_for_slot()
         except Refusal as refusal:
             self._refuse(refusal)
             return
@@ -137,18 +137,18 @@
         queue_micros = int((turn_at - started_at) * MICROS)
         used = Usage(0, 0)
         try:
-            used = self._run(queue_micros)
+            used = self._call_target(queue_micros)
         except Refusal as refusal:
-            self._break_off(refusal)
+            self._handle_target_failure(refusal)
         finally:
-            self._equipment.queue.leave(
+            self._resources.queue.leave(
                 self._make_ticket(), used.total, time.time() - turn_at
             )
 
-    def _take_turn(self) -> None:
+    def _wait_for_slot(self) -> None:
         ticket = self._make_ticket()
-        self._equipment.queue.enter(ticket)
-        self._equipment.queue.wait_turn(ticket, self._cancelled)
+        self._resources.queue.enter(ticket)
+        self._resources.queue.wait_turn(ticket, self._cancelled)
 
     def _make_ticket(self) -> Ticket:
         submit = self.submit
@@ -162,17 +162,17 @@
             deadline=make_seconds(submit.deadline),
         )
 
-    def _run(self, queue_micros: int) -> Usage:
+    def _call_target(self, queue_micros: int) -> Usage:
         if self._cancelled.is_set():
             raise RequestCancelled()
-        answer = self._equipment.target.call(self.submit)
+        answer = self._resources.target.call(self.submit)
         self._target_answer = answer
         try:
-            return self._pass_on(answer, queue_micros)
+            return self._forward_answer(answer, queue_micros)
         finally:
             answer.close()
 
-    def _pass_on(self, answer: TargetAnswer, queue_micros: int) -> Usage:
+    def _forward_answer(self, answer: TargetAnswer, queue_micros: int) -> Usage:
         if self._cancelled.is_set():
             answer.abort()
         request_id = self.submit.request_id
@@ -181,17 +181,17 @@
         reader = UsageReader(streamed)
         broken = False
         try:
-            for piece in answer.read_pieces():
+            for piece in answer.read_chunks():
                 reader.feed(piece)
                 self.feed.append(piece)
         except TargetFailed:
             broken = True
         reader.finish()
-        usage, complete = self._judge_answer(reader, answer.status, broken)
+        usage, complete = self._compute_billing(reader, answer.status, broken)
         self._finish(usage, complete, queue_micros)
         return usage
 
-    def _judge_answer(
+    def _compute_billing(
         self, reader: UsageReader, status: int, broken: bool
     ) -> tuple[Usage, bool]:
         """Say what to bill and whether the answer is whole."""
@@ -211,7 +211,7 @@
     def _finish(self, usage: Usage, complete: bool, queue_micros: int) -> None:
         cap = self.submit.reserved_tokens
         billed = min(usage.total, cap)
-        self._equipment.charges.close_charge(self.charge, billed, complete)
+        self._resources.charges.close_charge(self.charge, billed, complete)
         finished = Finished(
             self.submit.request_id,
             0,
@@ -222,23 +222,23 @@
             queue_micros,
         )
         self.feed.finish(finished)
-        self._equipment.observer.note_finished(self.submit, finished)
+        self._resources.observer.record_finished(self.submit, finished)
 
-    def _break_off(self, refusal: Refusal) -> None:
+    def _handle_target_failure(self, refusal: Refusal) -> None:
         """End a run whose target gave no answer's head."""
         if refusal.statement == Statement.did_not_run:
             self._refuse(refusal)
             return
-        self._equipment.charges.close_charge(self.charge, 0, False)
-        self._tell_refused(refusal)
+        self._resources.charges.close_charge(self.charge, 0, False)
+        self._publish_refusal(refusal)
 
     def _refuse(self, refusal: Refusal) -> None:
-        self._equipment.charges.close_charge(self.charge, 0, False)
-        self._tell_refused(refusal)
+        self._resources.charges.close_charge(self.charge, 0, False)
+        self._publish_refusal(refusal)
 
-    def _tell_refused(self, refusal: Refusal) -> None:
+    def _publish_refusal(self, refusal: Refusal) -> None:
         self.feed.finish(make_refused(self.submit, refusal))
-        self._equipment.observer.note_refused(self.submit, refusal)
+        self._resources.observer.record_refused(self.submit, refusal)
 
 
 def make_refused(submit: Submit, refusal: IbisportError) -> Refused:
--- a/packages/agent/src/ibisport_agent/internal/runtable.py
+++ b/packages/agent/src/ibisport_agent/internal/runtable.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from ibisport_agent.internal.runs import Equipment, Run
+from ibisport_agent.internal.runs import Run, RunResources
 from ibisport_core.errors import (
     AnswerGone,
     IdentityReused,
@@ -16,8 +16,8 @@
 from ibisport_core.link import Link
 from ibisport_core.messages import Cancel, Submit
 
-_UNKEYED_KEPT_SECONDS = 30.0
-_FORGOTTEN_MOST = 200_000
+_UNKEYED_RETENTION_SECONDS = 30.0
+_MAX_FORGOTTEN = 200_000
 
 
 class RunTable:
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, equipment: Equipment, keep_answers: float, answer_bytes: int
+        self, equipment: RunResources, keep_answers: float, answer_bytes: int
     ) -> None:
         """Start empty.
 
@@ -39,14 +39,14 @@
             answer_bytes: Most bytes of finished answers kept.
         """
         self.draining = False
-        self._equipment = equipment
+        self._resources = equipment
         self._keep_answers = keep_answers
         self._answer_bytes = answer_bytes
         self._lock = threading.Lock()
         self._runs: dict[bytes, Run] = {}
         self._bodies: dict[bytes, bytes] = {}
         self._forgotten: dict[bytes, float] = {}
-        self._barred: dict[bytes, str] = {}
+        self._allowed_sessions: dict[bytes, str] = {}
 
     def submit(self, submit: Submit, link: Link) -> None:
         """Start a request, or join the router to it when it is known.
@@ -90,7 +90,7 @@
         """Withdraw what a fenced session still has waiting in the queue."""
         for run in self._list_runs():
             if run.submit.session == session and not run.ended_at:
-                self._equipment.queue.withdraw(run.submit.request_id)
+                self._resources.queue.withdraw(run.submit.request_id)
 
     def count_open(self) -> int:
         """Return how many runs have not ended."""
@@ -110,7 +110,7 @@
                 ended.append(run)
             elif not run.submit.keyed and run.feed.is_orphaned(now - resume_within):
                 run.cancel(billed=False)
-        self._forget(self._choose_old(ended, now))
+        self._forget(self._select_expired(ended, now))
 
     def _find(self, submit: Submit) -> Run | None:
         run = self._runs.get(submit.request_id)
@@ -125,56 +125,59 @@
             run.submit.attempt,
         )
         if again and run.restartable:
-            self._clear(submit)
+            self._discard_run(submit)
             return None
         return run
 
-    def _clear(self, submit: Submit) -> None:
+    def _discard_run(self, submit: Submit) -> None:
         """Make room for a new run of a request, unless it was only asked for."""
         if submit.join_only:
-            self._bar(submit)
+            self._restrict_to_session(submit)
             raise NotKnown()
         self._runs.pop(submit.request_id)
 
     def _make_run(self, submit: Submit) -> Run:
         if submit.join_only:
-            self._bar(submit)
+            self._restrict_to_session(submit)
             raise NotKnown()
-        if self._barred.get(submit.request_id, submit.session) != submit.session:
+        if (
+            self._allowed_sessions.get(submit.request_id, submit.session)
+            != submit.session
+        ):
             raise NotKnown('another router has taken the claim over')
         if self.draining:
             raise TargetDraining()
-        run = Run(submit, self._equipment)
-        if not self._equipment.charges.open_charge(run.charge, submit.request_id):
+        run = Run(submit, self._resources)
+        if not self._resources.charges.open_charge(run.charge, submit.request_id):
             raise SessionRefused()
         self._runs[submit.request_id] = run
         self._bodies[submit.request_id] = _digest(submit)
         return run
 
-    def _bar(self, submit: Submit) -> None:
+    def _restrict_to_session(self, submit: Submit) -> None:
         """Take the request from no other session than the one that joins.
 
         Whoever claimed it first and has not sent it may do so no more, so the
         claim may be taken over.
         """
-        self._barred[submit.request_id] = submit.session
+        self._allowed_sessions[submit.request_id] = submit.session
 
-    def _choose_old(self, ended: list[Run], now: float) -> list[Run]:
-        ended.sort(key=_read_end)
+    def _select_expired(self, ended: list[Run], now: float) -> list[Run]:
+        ended.sort(key=_get_ended_at)
         kept_bytes = sum(run.feed.length for run in ended)
         old = []
         for run in ended:
-            if kept_bytes > self._answer_bytes or self._is_old(run, now):
+            if kept_bytes > self._answer_bytes or self._is_expired(run, now):
                 old.append(run)
                 kept_bytes -= run.feed.length
         return old
 
-    def _is_old(self, run: Run, now: float) -> bool:
+    def _is_expired(self, run: Run, now: float) -> bool:
         if run.submit.keyed or not run.submit.idempotent:
             return run.ended_at < now - self._keep_answers
         if run.released:
             return True
-        return run.ended_at < now - _UNKEYED_KEPT_SECONDS
+        return run.ended_at < now - _UNKEYED_RETENTION_SECONDS
 
     def _forget(self, old: list[Run]) -> None:
         with self._lock:
@@ -186,10 +189,10 @@
                 self._bodies.pop(request_id, None)
                 if run.submit.keyed and not run.restartable:
                     self._forgotten[request_id] = run.ended_at
-            while len(self._forgotten) > _FORGOTTEN_MOST:
+            while len(self._forgotten) > _MAX_FORGOTTEN:
                 self._forgotten.pop(next(iter(self._forgotten)))
-            while len(self._barred) > _FORGOTTEN_MOST:
-                self._barred.pop(next(iter(self._barred)))
+            while len(self._allowed_sessions) > _MAX_FORGOTTEN:
+                self._allowed_sessions.pop(next(iter(self._allowed_sessions)))
 
     def _list_runs(self) -> list[Run]:
         with self._lock:
@@ -201,5 +204,5 @@
     return hashlib.blake2b(asked, digest_size=16).digest()
 
 
-def _read_end(run: Run) -> float:
+def _get_ended_at(run: Run) -> float:
     return run.ended_at
--- a/packages/agent/src/ibisport_agent/internal/target.py
+++ b/packages/agent/src/ibisport_agent/internal/target.py
@@ -11,9 +11,9 @@
 from ibisport_core.internal.clock import make_seconds
 from ibisport_core.messages import Header, Submit
 
-_PASSED_HEADERS = frozenset(('content-type', 'retry-after', 'location', 'etag'))
-_CONNECT_SECONDS = 2.0
-_MOST_SILENCE = 60.0
+_FORWARDED_HEADERS = frozenset(('content-type', 'retry-after', 'location', 'etag'))
+_CONNECT_TIMEOUT_SECONDS = 2.0
+_MAX_READ_TIMEOUT_SECONDS = 60.0
 _READ_BYTES = 65_536
 
 
@@ -30,7 +30,7 @@
     headers: tuple[Header, ...]
     _response: urllib3.BaseHTTPResponse
 
-    def read_pieces(self) -> Iterator[bytes]:
+    def read_chunks(self) -> Iterator[bytes]:
         """Yield the body as it comes, in pieces of what is there.
 
         Raises:
@@ -89,7 +89,7 @@
         headers['X-Request-Id'] = submit.request_id.hex()
         headers['X-Priority'] = str(submit.priority)
         left = make_seconds(submit.deadline) - time.time()
-        silence = max(0.1, min(left, _MOST_SILENCE))
+        silence = max(0.1, min(left, _MAX_READ_TIMEOUT_SECONDS))
         try:
             response = self._pool.urlopen(
                 submit.method,
@@ -98,26 +98,28 @@
                 headers=headers,
                 preload_content=False,
                 redirect=False,
-                timeout=urllib3.Timeout(connect=_CONNECT_SECONDS, read=silence),
+                timeout=urllib3.Timeout(connect=_CONNECT_TIMEOUT_SECONDS, read=silence),
             )
         except urllib3.exceptions.NewConnectionError as error:
             raise TargetFailed(str(error), Statement.did_not_run) from error
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            statement = _judge(error)
+            statement = _classify_error(error)
             raise TargetFailed(str(error), statement) from error
-        return TargetAnswer(response.status, _keep_headers(response), response)
+        return TargetAnswer(response.status, _filter_headers(response), response)
 
     def close(self) -> None:
         """Close the pool."""
         self._pool.close()
 
 
-def _judge(error: Exception) -> Statement:
+def _classify_error(error: Exception) -> Statement:
     if isinstance(error, urllib3.exceptions.ConnectTimeoutError):
         return Statement.did_not_run
     return Statement.outcome_unknown
 
 
-def _keep_headers(response: urllib3.BaseHTTPResponse) -> tuple[Header, ...]:
+def _filter_headers(response: urllib3.BaseHTTPResponse) -> tuple[Header, ...]:
     pairs = response.headers.items()
-    return tuple(Header(*pair) for pair in pairs if pair[0].lower() in _PASSED_HEADERS)
+    return tuple(
+        Header(*pair) for pair in pairs if pair[0].lower() in _FORWARDED_HEADERS
+    )
--- a/packages/agent/src/ibisport_agent/internal/usage.py
+++ b/packages/agent/src/ibisport_agent/internal/usage.py
@@ -8,10 +8,10 @@
 
 import orjson
 
-_DONE = b'data: [DONE]'
-_USAGE = b'"usage"'
+_DONE_PREFIX = b'data: [DONE]'
+_USAGE_MARKER = b'"usage"'
 _EVENT_END = b'\n\n'
-_MOST_PENDING = 1024 * 1024
+_MAX_PENDING_BYTES = 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,26 +63,26 @@
         if not self._streamed:
             return
         *events, self._pending = self._pending.split(_EVENT_END)
-        self._pending = self._pending[-_MOST_PENDING:]
+        self._pending = self._pending[-_MAX_PENDING_BYTES:]
         for event in events:
-            self._take_event(event)
+            self._handle_event(event)
 
     def finish(self) -> None:
         """Take the end of the answer."""
         if not self._streamed:
-            self._usage = _read_usage(self._pending)
+            self._usage = _parse_usage(self._pending)
             self._done = self._usage is not None
 
-    def _take_event(self, event: bytes) -> None:
-        if event.startswith(_DONE):
+    def _handle_event(self, event: bytes) -> None:
+        if event.startswith(_DONE_PREFIX):
             self._done = True
             return
         self._events += 1
-        if _USAGE in event:
-            self._usage = _read_usage(event.removeprefix(b'data: ')) or self._usage
+        if _USAGE_MARKER in event:
+            self._usage = _parse_usage(event.removeprefix(b'data: ')) or self._usage
 
 
-def _read_usage(document: bytes) -> Usage | None:
+def _parse_usage(document: bytes) -> Usage | None:
     try:
         usage = orjson.loads(document)['usage']
         return Usage(int(usage['prompt_tokens']), int(usage['completion_tokens']))
