--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on draining, graceful shutdown and rolling replacement."""
+"""Steps for draining, graceful shutdown and rolling replacement."""
 
 import time
 
@@ -45,7 +45,7 @@
     before = _count_runs(context, name)
     time.sleep(2 * STEADY_SECONDS)
     assert _count_runs(context, name) == before
-    assert before > 0, 'it never had work'
+    assert before > 0, 'the target never ran a request'
 
 
 @then('within {seconds:d} seconds {name} gets new work')
--- a/packages/agent/src/ibisport_agent/__init__.py
+++ b/packages/agent/src/ibisport_agent/__init__.py
@@ -1,1 +1,1 @@
-"""Package of ibisport: agent."""
+"""The ibisport agent: runs routers' requests at one target."""
--- a/packages/agent/src/ibisport_agent/agent.py
+++ b/packages/agent/src/ibisport_agent/agent.py
@@ -1,4 +1,4 @@
-"""The process beside a target: the only door through which work reaches it."""
+"""The agent process: every request to its target goes through it."""
 
 import socket
 import threading
@@ -26,13 +26,13 @@
 
 
 class Agent:
-    """Listens for routers and does their work at the one target."""
+    """Accepts connections from routers and runs their requests at one target."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Open the listeners; ``start`` begins to serve.
+        """Open the listeners; ``start`` begins to serve connections.
 
         Args:
-            settings: The checked settings.
+            settings: The validated settings.
         """
         self.settings = settings
         self.session = make_session()
@@ -57,19 +57,19 @@
 
     @property
     def address(self) -> str:
-        """Where routers connect, ``host:port``."""
+        """Address that routers connect to, ``host:port``."""
         return '{}:{}'.format(*self._listener.getsockname()[:2])
 
     @property
     def status_address(self) -> str:
-        """Where metrics and health are served, ``host:port``."""
+        """Address of the metrics and health endpoints, ``host:port``."""
         return self._status.address
 
     def start(self) -> None:
-        """Serve in threads of its own."""
+        """Start the status server and the background threads."""
         self._status.start()
-        for work in (self._accept_links, self._send_heartbeats, self._sweep):
-            threading.Thread(target=work, name=work.__name__, daemon=True).start()
+        for loop in (self._accept_links, self._send_heartbeats, self._sweep):
+            threading.Thread(target=loop, name=loop.__name__, daemon=True).start()
         log_event(
             Event.process_started,
             role='agent',
@@ -79,7 +79,7 @@
         )
 
     def drain(self, reason: str) -> None:
-        """Take no new work and tell every router so."""
+        """Refuse new requests and send every router a goodbye."""
         if self.runs.draining:
             return
         self.runs.draining = True
@@ -88,12 +88,12 @@
             self._send(link, Goodbye(reason))
 
     def resume(self) -> None:
-        """Take new work again after a drain that the operators took back."""
+        """Accept new requests again after a cancelled drain, unless stopping."""
         if not self.stopping.is_set():
             self.runs.draining = False
 
     def stop(self) -> None:
-        """Drain, wait for what is in flight, and close."""
+        """Drain, wait up to ``grace`` seconds for open runs, and close."""
         self.stopping.set()
         self.drain('the agent stops')
         deadline = time.monotonic() + self.settings.grace
@@ -113,7 +113,7 @@
             return tuple(self._links)
 
     def measure_load(self) -> Load:
-        """Return the load as it goes into heartbeats."""
+        """Return the current load, as sent in heartbeats."""
         load = self.queue.measure()
         return Load(
             running=load.running,
@@ -126,7 +126,7 @@
         )
 
     def describe(self) -> dict[str, object]:
-        """Return what the agent believes, for operators."""
+        """Return the agent's state for the status page."""
         load = self.measure_load()
         return {
             'role': 'agent',
@@ -144,12 +144,12 @@
         }
 
     def add_link(self, link: Link) -> None:
-        """Count a router's link in."""
+        """Register a router's link, so that it receives heartbeats."""
         with self._links_lock:
             self._links.add(link)
 
     def remove_link(self, link: Link) -> None:
-        """Count a router's link out; its requests may resume on another."""
+        """Remove a router's link; its requests may resume on another link."""
         with self._links_lock:
             self._links.discard(link)
         self.runs.drop_link(link)
@@ -204,5 +204,5 @@
         try:
             link.send(message)
         except LinkClosed:
-            # Its own thread sees the end and removes it.
+            # The link's own thread detects the closed link and removes it.
             return
--- a/packages/agent/src/ibisport_agent/cli.py
+++ b/packages/agent/src/ibisport_agent/cli.py
@@ -16,7 +16,7 @@
 
 
 def serve(**flags: object) -> None:
-    """Run the agent until SIGTERM or SIGINT, then end gracefully.
+    """Run the agent until SIGTERM or SIGINT, then shut down gracefully.
 
     Args:
         flags: Settings by name; see ``ibisport-agent settings``.
@@ -33,13 +33,13 @@
 
 
 def settings(**flags: object) -> None:
-    """Print the effective settings as JSON, secrets blanked."""
-    shown = orjson.dumps(_load(flags).describe(), option=orjson.OPT_INDENT_2)
-    print(shown.decode())
+    """Print the effective settings as JSON, with secrets redacted."""
+    document = orjson.dumps(_load(flags).describe(), option=orjson.OPT_INDENT_2)
+    print(document.decode())
 
 
 def run() -> None:
-    """Entry point of the binary."""
+    """Run the command line; entry point of ``ibisport-agent``."""
     fire.Fire({'serve': serve, 'settings': settings}, name='ibisport-agent')
 
 
--- a/packages/agent/src/ibisport_agent/internal/__init__.py
+++ b/packages/agent/src/ibisport_agent/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Internal modules; not a public interface."""
+"""Internal modules of the agent; not a public interface."""
--- a/packages/agent/src/ibisport_agent/internal/answers.py
+++ b/packages/agent/src/ibisport_agent/internal/answers.py
@@ -1,4 +1,4 @@
-"""The answer of one request, kept so that it can be read from any offset."""
+"""Buffer of one request's answer that can be read from any offset."""
 
 import bisect
 from dataclasses import dataclass, field
@@ -6,10 +6,10 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Bytes of an answer in the order they came; not thread-safe.
+    """Bytes of an answer in the order received; not thread-safe.
 
     Attributes:
-        length: Bytes so far.
+        length: Number of bytes received so far.
     """
 
     length: int = 0
@@ -17,7 +17,7 @@
     _offsets: list[int] = field(default_factory=list)
 
     def append(self, payload: bytes) -> int:
-        """Add bytes and return the offset of their first."""
+        """Append bytes and return the offset of the first of them."""
         offset = self.length
         self._chunks.append(payload)
         self._offsets.append(offset)
@@ -25,7 +25,7 @@
         return offset
 
     def read_from(self, offset: int) -> bytes:
-        """Return all bytes from an offset on; empty when there are none."""
+        """Return all bytes from an offset to the end, which may be none."""
         if offset >= self.length:
             return b''
         index = bisect.bisect_right(self._offsets, offset) - 1
--- a/packages/agent/src/ibisport_agent/internal/charges.py
+++ b/packages/agent/src/ibisport_agent/internal/charges.py
@@ -1,8 +1,8 @@
-"""What each router session's charges come to at this agent.
+"""Records of the charges that each router session has made at this agent.
 
-These records are the proof of what ran under a session that died: whoever
-recovers its grants fences the session here, and then reads them. They are kept
-until the session says that a charge is settled in the store.
+The records prove what ran under a session that died: the peer that recovers its
+grants fences the session here, then reads the records. A record is kept until
+the session reports that the charge is settled in the store.
 """
 
 import threading
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChargeKey:
-    """Names one charge of one session."""
+    """Identifies one charge of one session."""
 
     session: str
     workspace: str
@@ -22,10 +22,10 @@
 
 
 class ChargeBook:
-    """The charges of every session, and which sessions are fenced."""
+    """Charges not known to be settled, by session, and the fenced sessions."""
 
     def __init__(self) -> None:
-        """Start with no record."""
+        """Create an empty book."""
         self._lock = threading.Lock()
         self._records: dict[str, dict[ChargeKey, ChargeRecord]] = {}
         self._fenced: set[str] = set()
@@ -35,10 +35,10 @@
 
         Args:
             key: The charge.
-            request_id: The request it pays for.
+            request_id: The request that the charge pays for.
 
         Returns:
-            False when the session is fenced: the request must not run.
+            False if the session is fenced; the request must not run then.
         """
         record = ChargeRecord(
             key.workspace, key.budget, key.charge, request_id, 0, False, True
@@ -50,12 +50,14 @@
             return True
 
     def close_charge(self, key: ChargeKey, tokens: int, complete: bool) -> None:
-        """Record what a charge came to; zero tokens that are not complete go.
+        """Record the result of a charge, or drop it if nothing is to be billed.
+
+        A charge of zero tokens for an incomplete answer is dropped.
 
         Args:
             key: The charge.
-            tokens: What is to be billed.
-            complete: Whether the answer is whole.
+            tokens: Number of tokens to bill.
+            complete: Whether the answer is complete.
         """
         with self._lock:
             records = self._records.get(key.session, {})
@@ -70,8 +72,10 @@
             )
 
     def settle(self, settled: Settled) -> None:
-        """Forget the charges that the store knows."""
-        floors = {(one.workspace, one.budget): one.floor for one in settled.floors}
+        """Drop ended charges below the floors settled in the store."""
+        floors = {
+            (entry.workspace, entry.budget): entry.floor for entry in settled.floors
+        }
         with self._lock:
             records = self._records.get(settled.session, {})
             for key in tuple(records):
@@ -80,19 +84,19 @@
                     records.pop(key)
 
     def fence(self, session: str) -> tuple[ChargeRecord, ...]:
-        """Take no more charges of a session.
+        """Refuse all further charges of a session.
 
         Args:
-            session: The session that may spend no more.
+            session: The session that must not spend any more.
 
         Returns:
-            Its charges that are not known to be settled.
+            The charges of the session that are not known to be settled.
         """
         with self._lock:
             self._fenced.add(session)
             return tuple(self._records.get(session, {}).values())
 
     def count(self) -> int:
-        """Return how many charges are kept."""
+        """Return the number of charges not known to be settled."""
         with self._lock:
             return sum(len(records) for records in self._records.values())
--- a/packages/agent/src/ibisport_agent/internal/entry.py
+++ b/packages/agent/src/ibisport_agent/internal/entry.py
@@ -1,4 +1,4 @@
-"""What the agent knows of its own catalogue entry."""
+"""The agent's view of its own catalogue entry."""
 
 import threading
 
@@ -10,12 +10,12 @@
 class TargetView:
     """The latest known state of the agent's own target entry.
 
-    Routers pass the entry on. An older revision never replaces a newer one, so
-    a router that is cut off from the store cannot take a drain back.
+    Routers forward the entry. An older revision never replaces a newer one, so
+    a router that has lost its connection to the store can't undo a drain.
     """
 
     def __init__(self, target: str) -> None:
-        """Start with nothing known.
+        """Start at revision 0, as a live target.
 
         Args:
             target: Name of the target.
@@ -27,13 +27,13 @@
         self._lock = threading.Lock()
 
     def apply_update(self, update: CatalogueUpdate) -> bool:
-        """Take news in.
+        """Apply the newer revision of the agent's entry, if there is one.
 
         Args:
-            update: Entries from a router; others than the own are passed over.
+            update: Entries from a router; those of other targets are ignored.
 
         Returns:
-            Whether the own entry changed.
+            Whether the agent's own entry changed.
         """
         changed = False
         with self._lock:
--- a/packages/agent/src/ibisport_agent/internal/feed.py
+++ b/packages/agent/src/ibisport_agent/internal/feed.py
@@ -1,8 +1,8 @@
 """The answer of one run, sent to every router that subscribes to it.
 
-What was sent is kept, so that a router that comes later, after a lost
-connection or for a caller who retried elsewhere, reads from the offset it
-names.
+The bytes are kept, so that a router that subscribes later, after a lost
+connection or because the caller retried at another router, can read from any
+offset.
 """
 
 import threading
@@ -33,19 +33,19 @@
 
 
 class Feed:
-    """Head, bytes and end of one answer; safe for threads.
+    """Head, bytes and end of one answer; thread-safe.
 
     Attributes:
-        head: Status and headers of the answer, once they are known.
-        end: How the run ended, once it did.
-        ended_at: Unix time of the end; zero before.
+        head: Status and headers of the answer; None until known.
+        end: The message that ended the run; None while it runs.
+        ended_at: Unix time of the end; zero while the run is open.
     """
 
     def __init__(self, request_id: bytes) -> None:
-        """Start with nothing known and nobody subscribed.
+        """Create an empty feed without subscribers.
 
         Args:
-            request_id: The request that is answered.
+            request_id: The request that the answer belongs to.
         """
         self.head: Head | None = None
         self.end: End | None = None
@@ -58,67 +58,76 @@
 
     @property
     def length(self) -> int:
-        """Bytes of the answer so far."""
+        """Number of bytes of the answer so far."""
         return self._answer.length
 
     def subscribe(self, link: Link, submit: Submit, accepted: Accepted) -> None:
-        """Send all that is known to a router, and all that follows.
+        """Send a router the answer from its offset, and all later messages.
 
         Args:
             link: The router's link.
             submit: The router's message, with its attempt and offset.
-            accepted: Tells the router who pays.
+            accepted: The reply, naming the session and charge that pay.
         """
         subscriber = _Subscriber(link, submit.attempt)
         with self._lock:
-            self._subscribers = [one for one in self._subscribers if one != subscriber]
+            self._subscribers = [
+                known for known in self._subscribers if known != subscriber
+            ]
             self._orphaned_at = 0
             _send(subscriber, accepted)
             self._send_backlog(subscriber, submit.offset)
             self._subscribers.append(subscriber)
 
     def unsubscribe(self, link: Link) -> None:
-        """Forget a router; with none left the run is orphaned."""
+        """Remove a router; without subscribers the run is orphaned."""
         with self._lock:
-            before = len(self._subscribers)
-            self._subscribers = [one for one in self._subscribers if one.link != link]
-            if before and not self._subscribers:
+            previous_count = len(self._subscribers)
+            self._subscribers = [
+                subscriber
+                for subscriber in self._subscribers
+                if subscriber.link != link
+            ]
+            if previous_count and not self._subscribers:
                 self._orphaned_at = time.time()
 
     def is_orphaned(self, since: float) -> bool:
-        """Whether nobody has waited for the answer since a Unix time."""
+        """Whether there was no subscriber since before a Unix time."""
         with self._lock:
             return bool(self._orphaned_at) and self._orphaned_at < since
 
     def set_head(self, head: Head) -> None:
-        """Send status and headers."""
+        """Store status and headers and send them to all subscribers."""
         with self._lock:
             self.head = head
             self._send_all(head)
 
     def append(self, payload: bytes) -> None:
-        """Send the next bytes."""
+        """Store the next bytes and send them to all subscribers."""
         with self._lock:
             offset = self._answer.append(payload)
-            for one in self._subscribers:
-                _send(one, Chunk(self._request_id, one.attempt, offset, payload))
+            for subscriber in self._subscribers:
+                _send(
+                    subscriber,
+                    Chunk(self._request_id, subscriber.attempt, offset, payload),
+                )
 
     def finish(self, end: End) -> None:
-        """Send how the run ended."""
+        """Store the message that ends the run and send it to all subscribers."""
         with self._lock:
             self.end = end
             self._send_all(end)
-            # A leaving agent closes its links once no run is open.
+            # Set after the send: a stopping agent closes its links once no run is open.
             self.ended_at = time.time()
 
     def _send_backlog(self, subscriber: _Subscriber, offset: int) -> None:
         if self.head is not None:
             _send(subscriber, replace(self.head, attempt=subscriber.attempt))
-        missing = self._answer.read_from(offset)
-        for start in range(0, len(missing), _MAX_CHUNK_BYTES):
-            piece = missing[start : start + _MAX_CHUNK_BYTES]
+        backlog = self._answer.read_from(offset)
+        for start in range(0, len(backlog), _MAX_CHUNK_BYTES):
+            chunk = backlog[start : start + _MAX_CHUNK_BYTES]
             attempt = subscriber.attempt
-            _send(subscriber, Chunk(self._request_id, attempt, offset + start, piece))
+            _send(subscriber, Chunk(self._request_id, attempt, offset + start, chunk))
         if self.end is not None:
             _send(subscriber, replace(self.end, attempt=subscriber.attempt))
 
@@ -131,5 +140,5 @@
     try:
         subscriber.link.send(message)
     except LinkClosed:
-        # The link's own thread sees the end and unsubscribes the router.
+        # The link's own thread detects the closed link and unsubscribes the router.
         return
--- a/packages/agent/src/ibisport_agent/internal/routerlink.py
+++ b/packages/agent/src/ibisport_agent/internal/routerlink.py
@@ -1,4 +1,4 @@
-"""One router's connection at the agent: its task reads message by message."""
+"""The agent's side of one router's connection, served by its own thread."""
 
 from __future__ import annotations
 
@@ -29,24 +29,27 @@
 
 
 class RouterLink:
-    """Serves one router, or whoever recovers a session, until it goes."""
+    """Serves one peer, usually a router, until the connection ends.
+
+    The peer may also be a process that recovers the session of a dead router.
+    """
 
     def __init__(self, agent: Agent, link: Link) -> None:
-        """Take an accepted connection.
+        """Wrap an accepted connection.
 
         Args:
-            agent: The agent it reaches.
+            agent: The agent that accepted it.
             link: The connection.
         """
         self._agent = agent
         self._link = link
 
     def serve(self) -> None:
-        """Greet the peer, then handle its messages until the link ends.
+        """Perform the handshake, then handle messages until the link ends.
 
         Raises:
-            LinkClosed: The link ended.
-            FrameInvalid: The peer sent no frame.
+            LinkClosed: The link ended, or the handshake failed.
+            FrameInvalid: The peer sent an invalid frame.
         """
         self._perform_handshake()
         self._agent.add_link(self._link)
@@ -74,7 +77,7 @@
 
     def _check_hello(self, hello: Message) -> None:
         if not isinstance(hello, Hello):
-            raise PeerRejected('no hello')
+            raise PeerRejected('the first message is not a hello')
         if hello.schema_version != SCHEMA_VERSION:
             raise SchemaMismatch(f'schema {hello.schema_version}')
         secret = self._agent.settings.link_secret
@@ -96,7 +99,7 @@
             case CatalogueUpdate():
                 self._handle_update(message)
             case Heartbeat():
-                pass  # its bytes have shown that the router lives
+                pass  # receiving it has already reset the link's silence timeout
             case _:
                 log_event(Event.frame_refused, peer=self._link.peer)
 
--- a/packages/agent/src/ibisport_agent/internal/runs.py
+++ b/packages/agent/src/ibisport_agent/internal/runs.py
@@ -1,8 +1,8 @@
-"""One request at the agent: its turn, its run at the target, its answer.
+"""One request at the agent: its wait for a slot, its call and its answer.
 
-Each run has a thread of its own. Routers subscribe to it; one that comes later,
-after a lost connection or for a caller who retried elsewhere, reads the same
-answer from the offset it names.
+Each run has its own thread. Routers subscribe to it; a router that subscribes
+later, after a lost connection or because the caller retried at another router,
+reads the same answer from the offset it requests.
 """
 
 import threading
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResources:
-    """What all runs of an agent share."""
+    """The objects that all runs of an agent share."""
 
     queue: TurnQueue
     target: TargetClient
@@ -48,14 +48,14 @@
 
 
 class Run:
-    """A request that this agent was given, from its queue to its last byte."""
+    """A request submitted to this agent, from the queue to its last byte."""
 
-    def __init__(self, submit: Submit, equipment: RunResources) -> None:
-        """Prepare a run; ``start`` begins it.
+    def __init__(self, submit: Submit, resources: RunResources) -> None:
+        """Create a run; ``start`` begins it.
 
         Args:
-            submit: The request as it came first; its session pays.
-            equipment: What all runs share.
+            submit: The first submission of the request; its session pays.
+            resources: The objects that all runs share.
         """
         self.submit = submit
         self.charge = ChargeKey(
@@ -63,26 +63,26 @@
         )
         self.feed = Feed(submit.request_id)
         self.released = False
-        self._resources = equipment
+        self._resources = resources
         self._cancelled = threading.Event()
         self._billed = False
         self._target_answer: TargetAnswer | None = None
 
     def __repr__(self) -> str:
-        """Name the request and how far it is."""
+        """Show the request id and the bytes received so far."""
         return f'Run({self.submit.request_id.hex()}, {self.feed.length} bytes)'
 
     @property
     def ended_at(self) -> float:
-        """Unix time of the end; zero while it runs."""
+        """Unix time of the end; zero while the run is open."""
         return self.feed.ended_at
 
     @property
     def restartable(self) -> bool:
-        """Whether a new attempt may run it again.
+        """Whether a new attempt may run the request again.
 
-        So it is when it provably did not run, or when it is idempotent and
-        gave no whole answer; nothing was billed for it then.
+        It may if the request provably did not run, or if it is idempotent and
+        gave no complete answer. Nothing was billed for the run then.
         """
         match self.feed.end:
             case Refused(statement=Statement.did_not_run):
@@ -97,12 +97,12 @@
                 return False
 
     def start(self) -> None:
-        """Begin the work in a thread of its own."""
+        """Execute the run in its own thread."""
         name = f'run-{self.submit.request_id.hex()[:8]}'
         threading.Thread(target=self._execute, name=name, daemon=True).start()
 
     def subscribe(self, link: Link, submit: Submit) -> None:
-        """Send the answer to a router, from the offset it names on.
+        """Send the answer to a router, starting at the offset it requests.
 
         Args:
             link: The router's link.
@@ -114,10 +114,10 @@
         self.feed.subscribe(link, submit, accepted)
 
     def cancel(self, billed: bool) -> None:
-        """Stop the work as soon as it can be stopped.
+        """Stop the run as soon as possible.
 
         Args:
-            billed: Whether what was generated so far is paid for.
+            billed: Whether to bill the tokens generated so far.
         """
         self._billed = billed
         self._cancelled.set()
@@ -133,8 +133,8 @@
         except Refusal as refusal:
             self._refuse(refusal)
             return
-        turn_at = time.time()
-        queue_micros = int((turn_at - started_at) * MICROS)
+        slot_at = time.time()
+        queue_micros = int((slot_at - started_at) * MICROS)
         used = Usage(0, 0)
         try:
             used = self._call_target(queue_micros)
@@ -142,7 +142,7 @@
             self._handle_target_failure(refusal)
         finally:
             self._resources.queue.leave(
-                self._make_ticket(), used.total, time.time() - turn_at
+                self._make_ticket(), used.total, time.time() - slot_at
             )
 
     def _wait_for_slot(self) -> None:
@@ -177,13 +177,13 @@
             answer.abort()
         request_id = self.submit.request_id
         self.feed.set_head(Head(request_id, 0, answer.status, answer.headers))
-        streamed = any('event-stream' in one.content for one in answer.headers)
+        streamed = any('event-stream' in header.content for header in answer.headers)
         reader = UsageReader(streamed)
         broken = False
         try:
-            for piece in answer.read_chunks():
-                reader.feed(piece)
-                self.feed.append(piece)
+            for chunk in answer.read_chunks():
+                reader.feed(chunk)
+                self.feed.append(chunk)
         except TargetFailed:
             broken = True
         reader.finish()
@@ -194,7 +194,7 @@
     def _compute_billing(
         self, reader: UsageReader, status: int, broken: bool
     ) -> tuple[Usage, bool]:
-        """Say what to bill and whether the answer is whole."""
+        """Return the usage to bill and whether the answer is complete."""
         cancelled = self._cancelled.is_set()
         if self.submit.service:
             return Usage(self.submit.prompt_tokens, 0), not broken and not cancelled
@@ -204,7 +204,7 @@
         if whole and reader.usage is not None:
             return reader.usage, True
         if cancelled and self._billed:
-            # The prompt's count is not known: only its bound is.
+            # The prompt's token count is unknown: there is only an upper bound.
             return reader.usage or Usage(0, reader.events), False
         return Usage(0, 0), False
 
@@ -225,7 +225,7 @@
         self._resources.observer.record_finished(self.submit, finished)
 
     def _handle_target_failure(self, refusal: Refusal) -> None:
-        """End a run whose target gave no answer's head."""
+        """End a run whose target failed before it sent an answer's head."""
         if refusal.statement == Statement.did_not_run:
             self._refuse(refusal)
             return
@@ -242,7 +242,7 @@
 
 
 def make_refused(submit: Submit, refusal: IbisportError) -> Refused:
-    """Return the message that tells a router of a refusal."""
+    """Return the message that reports a refusal to a router."""
     retry_at = getattr(refusal, 'retry_at', None)
     return Refused(
         request_id=submit.request_id,
--- a/packages/agent/src/ibisport_agent/internal/runtable.py
+++ b/packages/agent/src/ibisport_agent/internal/runtable.py
@@ -1,4 +1,4 @@
-"""All the requests that an agent knows, and how long it remembers them."""
+"""The table of all requests known to an agent, and its retention rules."""
 
 import hashlib
 import threading
@@ -21,25 +21,26 @@
 
 
 class RunTable:
-    """Starts runs, joins routers to runs that are known, and forgets old ones.
+    """Starts runs, subscribes routers to known runs, and expires old ones.
 
-    A request id starts at most one run here, however often it is submitted:
-    that an agent remembers what it was given is what makes a non-idempotent
-    request run at most once at it.
+    A request id starts at most one run here, however often it is submitted,
+    unless the run is restartable. Because the agent remembers the requests that
+    it received, a non-idempotent request runs at most once at this agent.
     """
 
     def __init__(
-        self, equipment: RunResources, keep_answers: float, answer_bytes: int
+        self, resources: RunResources, keep_answers: float, answer_bytes: int
     ) -> None:
-        """Start empty.
+        """Create an empty table.
 
         Args:
-            equipment: What all runs share.
-            keep_answers: Seconds that a finished keyed answer stays joinable.
-            answer_bytes: Most bytes of finished answers kept.
+            resources: The objects that all runs share.
+            keep_answers: Seconds that the finished answer of a keyed or
+                non-idempotent request is kept for routers to join.
+            answer_bytes: Maximum total size of the finished answers kept.
         """
         self.draining = False
-        self._resources = equipment
+        self._resources = resources
         self._keep_answers = keep_answers
         self._answer_bytes = answer_bytes
         self._lock = threading.Lock()
@@ -49,26 +50,27 @@
         self._allowed_sessions: dict[bytes, str] = {}
 
     def submit(self, submit: Submit, link: Link) -> None:
-        """Start a request, or join the router to it when it is known.
+        """Start a request, or subscribe the router to its known run.
 
         Args:
             submit: The request.
-            link: The router's link; the answer goes there.
+            link: The router's link, which receives the answer.
 
         Raises:
-            Refusal: It was not started; the statement says what is known.
+            Refusal: The request was not started; the statement tells whether it
+                ran before.
         """
         with self._lock:
             run = self._find(submit)
-            fresh = run is None
+            is_new = run is None
             if run is None:
                 run = self._make_run(submit)
         run.subscribe(link, submit)
-        if fresh:
+        if is_new:
             run.start()
 
     def find(self, request_id: bytes) -> Run | None:
-        """Return a run that is known."""
+        """Return the run of a request, or None if it is unknown."""
         return self._runs.get(request_id)
 
     def drop_link(self, link: Link) -> None:
@@ -77,31 +79,31 @@
             run.feed.unsubscribe(link)
 
     def cancel(self, cancel: Cancel) -> None:
-        """Stop a run whose caller is gone for good.
+        """Stop a run whose caller has disconnected for good.
 
-        A keyed one goes on, since its caller may come back, and so does one
-        that is not idempotent, since its effect may be half done.
+        A keyed run continues, since its caller may retry, and so does a run
+        that is not idempotent, since its effect may be partly applied.
         """
         run = self._runs.get(cancel.request_id)
         if run is not None and not run.submit.keyed and run.submit.idempotent:
             run.cancel(cancel.billed)
 
     def withdraw_session(self, session: str) -> None:
-        """Withdraw what a fenced session still has waiting in the queue."""
+        """Withdraw the queued requests of a fenced session."""
         for run in self._list_runs():
             if run.submit.session == session and not run.ended_at:
                 self._resources.queue.withdraw(run.submit.request_id)
 
     def count_open(self) -> int:
-        """Return how many runs have not ended."""
+        """Return the number of runs that have not ended."""
         return sum(not run.ended_at for run in self._list_runs())
 
     def sweep(self, resume_within: float) -> None:
-        """Cancel orphans and forget answers that need not be kept.
+        """Cancel orphaned runs and drop expired answers.
 
         Args:
-            resume_within: Seconds a router may be gone before an unkeyed
-                request of it is cancelled.
+            resume_within: Seconds that a router has to resume an unkeyed request
+                without subscribers before the request is cancelled.
         """
         now = time.time()
         ended = []
@@ -120,17 +122,17 @@
             return None
         if self._bodies[submit.request_id] != _digest(submit):
             raise IdentityReused(statement=Statement.did_not_run)
-        again = (submit.session, submit.attempt) != (
+        is_new_attempt = (submit.session, submit.attempt) != (
             run.submit.session,
             run.submit.attempt,
         )
-        if again and run.restartable:
+        if is_new_attempt and run.restartable:
             self._discard_run(submit)
             return None
         return run
 
     def _discard_run(self, submit: Submit) -> None:
-        """Make room for a new run of a request, unless it was only asked for."""
+        """Drop a restartable run, unless the router only wants to join it."""
         if submit.join_only:
             self._restrict_to_session(submit)
             raise NotKnown()
@@ -155,22 +157,22 @@
         return run
 
     def _restrict_to_session(self, submit: Submit) -> None:
-        """Take the request from no other session than the one that joins.
+        """Accept the request only from the joining session from now on.
 
-        Whoever claimed it first and has not sent it may do so no more, so the
-        claim may be taken over.
+        The router that first claimed the request and hasn't sent it can no
+        longer do so, so the claim can safely be taken over.
         """
         self._allowed_sessions[submit.request_id] = submit.session
 
     def _select_expired(self, ended: list[Run], now: float) -> list[Run]:
         ended.sort(key=_get_ended_at)
         kept_bytes = sum(run.feed.length for run in ended)
-        old = []
+        expired = []
         for run in ended:
             if kept_bytes > self._answer_bytes or self._is_expired(run, now):
-                old.append(run)
+                expired.append(run)
                 kept_bytes -= run.feed.length
-        return old
+        return expired
 
     def _is_expired(self, run: Run, now: float) -> bool:
         if run.submit.keyed or not run.submit.idempotent:
@@ -179,9 +181,9 @@
             return True
         return run.ended_at < now - _UNKEYED_RETENTION_SECONDS
 
-    def _forget(self, old: list[Run]) -> None:
+    def _forget(self, expired: list[Run]) -> None:
         with self._lock:
-            for run in old:
+            for run in expired:
                 request_id = run.submit.request_id
                 if self._runs.get(request_id) is not run:
                     continue
@@ -200,8 +202,8 @@
 
 
 def _digest(submit: Submit) -> bytes:
-    asked = b'\n'.join((submit.method.encode(), submit.path.encode(), submit.body))
-    return hashlib.blake2b(asked, digest_size=16).digest()
+    identity = b'\n'.join((submit.method.encode(), submit.path.encode(), submit.body))
+    return hashlib.blake2b(identity, digest_size=16).digest()
 
 
 def _get_ended_at(run: Run) -> float:
--- a/packages/agent/src/ibisport_agent/internal/target.py
+++ b/packages/agent/src/ibisport_agent/internal/target.py
@@ -1,4 +1,4 @@
-"""Calls to the one target that an agent stands beside."""
+"""HTTP calls to the agent's target."""
 
 import contextlib
 import time
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetAnswer:
-    """A target's answer whose body is still to be read.
+    """A target's answer with its body not yet read.
 
     Attributes:
         status: HTTP status.
-        headers: The headers that go on to the caller.
+        headers: The headers that are forwarded to the caller.
     """
 
     status: int
@@ -31,27 +31,27 @@
     _response: urllib3.BaseHTTPResponse
 
     def read_chunks(self) -> Iterator[bytes]:
-        """Yield the body as it comes, in pieces of what is there.
+        """Yield the body as it arrives, in chunks of the bytes available.
 
         Raises:
-            TargetFailed: The target broke off or went silent.
+            TargetFailed: The connection broke or the read timed out.
         """
         try:
             while True:
-                piece = self._response.read1(_READ_BYTES)
-                if not piece:
+                chunk = self._response.read1(_READ_BYTES)
+                if not chunk:
                     return
-                yield piece
+                yield chunk
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             raise TargetFailed(str(error), Statement.outcome_unknown) from error
 
     def abort(self) -> None:
-        """Close the connection, from any thread: the target stops the work."""
+        """Shut down the connection so that the target stops; thread-safe."""
         with contextlib.suppress(Exception):
             self._response.shutdown()  # type: ignore[attr-defined]
 
     def close(self) -> None:
-        """Give the connection back, or close it when the body was not read."""
+        """Release the connection to the pool, or close it if the body is unread."""
         with contextlib.suppress(Exception):
             self._response.close()
             self._response.release_conn()
@@ -60,36 +60,37 @@
 class TargetClient:
     """HTTP client of one target."""
 
-    def __init__(self, address: str, most_calls: int) -> None:
-        """Set the pool up.
+    def __init__(self, address: str, max_calls: int) -> None:
+        """Create the connection pool.
 
         Args:
             address: ``host:port`` of the target.
-            most_calls: How many calls may be in flight.
+            max_calls: Maximum number of concurrent calls; the pool keeps as many
+                connections.
         """
         host, _, port = address.rpartition(':')
         self._pool = urllib3.HTTPConnectionPool(
-            host, int(port), maxsize=most_calls, retries=False
+            host, int(port), maxsize=max_calls, retries=False
         )
 
     def call(self, submit: Submit) -> TargetAnswer:
-        """Send a request on and return its answer's head.
+        """Forward a request and return its answer's head.
 
         Args:
             submit: The request.
 
         Returns:
-            The answer, its body unread.
+            The answer with its body unread.
 
         Raises:
-            TargetFailed: With ``did_not_run`` when no connection was made,
-                else with ``outcome_unknown``.
+            TargetFailed: With ``did_not_run`` if no connection was established,
+                otherwise with ``outcome_unknown``.
         """
-        headers = {one.name: one.content for one in submit.headers}
+        headers = {header.name: header.content for header in submit.headers}
         headers['X-Request-Id'] = submit.request_id.hex()
         headers['X-Priority'] = str(submit.priority)
-        left = make_seconds(submit.deadline) - time.time()
-        silence = max(0.1, min(left, _MAX_READ_TIMEOUT_SECONDS))
+        remaining = make_seconds(submit.deadline) - time.time()
+        read_timeout = max(0.1, min(remaining, _MAX_READ_TIMEOUT_SECONDS))
         try:
             response = self._pool.urlopen(
                 submit.method,
@@ -98,7 +99,9 @@
                 headers=headers,
                 preload_content=False,
                 redirect=False,
-                timeout=urllib3.Timeout(connect=_CONNECT_TIMEOUT_SECONDS, read=silence),
+                timeout=urllib3.Timeout(
+                    connect=_CONNECT_TIMEOUT_SECONDS, read=read_timeout
+                ),
             )
         except urllib3.exceptions.NewConnectionError as error:
             raise TargetFailed(str(error), Statement.did_not_run) from error
--- a/packages/agent/src/ibisport_agent/internal/usage.py
+++ b/packages/agent/src/ibisport_agent/internal/usage.py
@@ -1,7 +1,7 @@
-"""Reads a target's answer as it passes: is it whole, and what did it cost?
+"""Reads from a target's answer whether it is complete and how many tokens it used.
 
-Only events that name ``usage`` are decoded, so a long stream costs one search
-a piece.
+Only events that contain ``"usage"`` are decoded; every other event costs one
+substring search.
 """
 
 from dataclasses import dataclass
@@ -16,22 +16,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Tokens that an answer cost, as the target counted them."""
+    """Tokens that an answer used, as counted by the target."""
 
     prompt_tokens: int
     completion_tokens: int
 
     @property
     def total(self) -> int:
-        """Tokens to bill."""
+        """Prompt and completion tokens together, the number to bill."""
         return self.prompt_tokens + self.completion_tokens
 
 
 class UsageReader:
-    """Follows one completions answer, streamed or whole."""
+    """Parses one completions answer, streamed or as a single document."""
 
     def __init__(self, streamed: bool) -> None:
-        """Start before the first byte.
+        """Create a reader for an answer that has not started.
 
         Args:
             streamed: Whether the answer is a stream of server-sent events.
@@ -44,21 +44,21 @@
 
     @property
     def done(self) -> bool:
-        """Whether the stream said that it is whole."""
+        """Whether the end marker, or a document with a usage, was read."""
         return self._done
 
     @property
     def usage(self) -> Usage | None:
-        """The target's count, once it came."""
+        """The target's token counts; None until received."""
         return self._usage
 
     @property
     def events(self) -> int:
-        """Events seen so far: a stream's count of tokens, nearly."""
+        """Number of events so far, roughly one for each token of a stream."""
         return self._events
 
     def feed(self, payload: bytes) -> None:
-        """Take the next bytes of the answer."""
+        """Parse the next bytes of the answer."""
         self._pending += payload
         if not self._streamed:
             return
@@ -68,7 +68,7 @@
             self._handle_event(event)
 
     def finish(self) -> None:
-        """Take the end of the answer."""
+        """Parse the document of an answer that is not streamed."""
         if not self._streamed:
             self._usage = _parse_usage(self._pending)
             self._done = self._usage is not None
