--- a/packages/agent/src/ibisport_agent/agent.py
+++ b/packages/agent/src/ibisport_agent/agent.py
@@ -1,4 +1,4 @@
-"""The process beside a target: the only door through which work reaches it."""
+"""The agent process: every request to its target goes through it."""
 
 import socket
 import threading
@@ -9,7 +9,7 @@
 from ibisport_agent.internal.fairness import FairQueue
 from ibisport_agent.internal.routerlink import RouterLink
 from ibisport_agent.internal.runmetrics import RunMetrics
-from ibisport_agent.internal.runs import Equipment
+from ibisport_agent.internal.runs import RunResources
 from ibisport_agent.internal.runtable import RunTable
 from ibisport_agent.internal.target import TargetClient
 from ibisport_core.errors import FrameInvalid, LinkClosed
@@ -21,18 +21,18 @@
 from ibisport_core.metrics import Metrics, StatusServer
 from ibisport_core.settings import AgentSettings
 
-_SWEEP_SECONDS = 0.5
-_STOP_CHECK_SECONDS = 0.05
+_SWEEP_INTERVAL_SECONDS = 0.5
+_STOP_POLL_SECONDS = 0.05
 
 
 class Agent:
-    """Listens for routers and does their work at the one target."""
+    """Accepts connections from routers and runs their requests at one target."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Open the listeners; ``start`` begins to serve.
+        """Open the listeners; ``start`` begins to serve connections.
 
         Args:
-            settings: The checked settings.
+            settings: The validated settings.
         """
         self.settings = settings
         self.session = make_session()
@@ -42,7 +42,7 @@
         self.target = TargetClient(settings.target_address, settings.slots * 2)
         observer = RunMetrics(self.metrics, settings.target)
         self.runs = RunTable(
-            Equipment(self.queue, self.target, self.charges, observer),
+            RunResources(self.queue, self.target, self.charges, observer),
             settings.keep_answers,
             settings.answer_bytes,
         )
@@ -57,19 +57,19 @@
 
     @property
     def address(self) -> str:
-        """Where routers connect, ``host:port``."""
+        """Address that routers connect to, ``host:port``."""
         return '{}:{}'.format(*self._listener.getsockname()[:2])
 
     @property
     def status_address(self) -> str:
-        """Where metrics and health are served, ``host:port``."""
+        """Address of the metrics and health endpoints, ``host:port``."""
         return self._status.address
 
     def start(self) -> None:
-        """Serve in threads of its own."""
+        """Start the status server and the background threads."""
         self._status.start()
-        for work in (self._accept_links, self._beat, self._sweep):
-            threading.Thread(target=work, name=work.__name__, daemon=True).start()
+        for loop in (self._accept_links, self._send_heartbeats, self._sweep):
+            threading.Thread(target=loop, name=loop.__name__, daemon=True).start()
         log_event(
             Event.process_started,
             role='agent',
@@ -79,7 +79,7 @@
         )
 
     def drain(self, reason: str) -> None:
-        """Take no new work and tell every router so."""
+        """Refuse new requests and send every router a goodbye."""
         if self.runs.draining:
             return
         self.runs.draining = True
@@ -88,17 +88,17 @@
             self._send(link, Goodbye(reason))
 
     def resume(self) -> None:
-        """Take new work again after a drain that the operators took back."""
+        """Accept new requests again after a cancelled drain, unless stopping."""
         if not self.stopping.is_set():
             self.runs.draining = False
 
     def stop(self) -> None:
-        """Drain, wait for what is in flight, and close."""
+        """Drain, wait up to ``grace`` seconds for open runs, and close."""
         self.stopping.set()
         self.drain('the agent stops')
         deadline = time.monotonic() + self.settings.grace
         while time.monotonic() < deadline and self.runs.count_open():
-            time.sleep(_STOP_CHECK_SECONDS)
+            time.sleep(_STOP_POLL_SECONDS)
         for link in self.list_links():
             link.drain(time.monotonic() + 1)
             link.close()
@@ -113,7 +113,7 @@
             return tuple(self._links)
 
     def measure_load(self) -> Load:
-        """Return the load as it goes into heartbeats."""
+        """Return the current load, as sent in heartbeats."""
         load = self.queue.measure()
         return Load(
             running=load.running,
@@ -126,7 +126,7 @@
         )
 
     def describe(self) -> dict[str, object]:
-        """Return what the agent believes, for operators."""
+        """Return the agent's state for the status page."""
         load = self.measure_load()
         return {
             'role': 'agent',
@@ -144,12 +144,12 @@
         }
 
     def add_link(self, link: Link) -> None:
-        """Count a router's link in."""
+        """Register a router's link, so that it receives heartbeats."""
         with self._links_lock:
             self._links.add(link)
 
     def remove_link(self, link: Link) -> None:
-        """Count a router's link out; its requests may resume on another."""
+        """Remove a router's link; its requests may resume on another link."""
         with self._links_lock:
             self._links.discard(link)
         self.runs.drop_link(link)
@@ -180,7 +180,7 @@
             link.close()
             self.remove_link(link)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while not self._listener_closed():
             heartbeat = Heartbeat(
                 read_micros(), self.measure_load(), self.view.revision
@@ -192,7 +192,7 @@
     def _sweep(self) -> None:
         while not self._listener_closed():
             self.runs.sweep(self.settings.resume_within)
-            time.sleep(_SWEEP_SECONDS)
+            time.sleep(_SWEEP_INTERVAL_SECONDS)
 
     def _listener_closed(self) -> bool:
         return self._listener.fileno() < 0
@@ -204,5 +204,5 @@
         try:
             link.send(message)
         except LinkClosed:
-            # Its own thread sees the end and removes it.
+            # The link's own thread detects the closed link and removes it.
             return
--- a/packages/agent/src/ibisport_agent/internal/target.py
+++ b/packages/agent/src/ibisport_agent/internal/target.py
@@ -1,4 +1,4 @@
-"""Calls to the one target that an agent stands beside."""
+"""HTTP calls to the agent's target."""
 
 import contextlib
 import time
@@ -11,47 +11,47 @@
 from ibisport_core.internal.clock import make_seconds
 from ibisport_core.messages import Header, Submit
 
-_PASSED_HEADERS = frozenset(('content-type', 'retry-after', 'location', 'etag'))
-_CONNECT_SECONDS = 2.0
-_MOST_SILENCE = 60.0
+_FORWARDED_HEADERS = frozenset(('content-type', 'retry-after', 'location', 'etag'))
+_CONNECT_TIMEOUT_SECONDS = 2.0
+_MAX_READ_TIMEOUT_SECONDS = 60.0
 _READ_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class TargetAnswer:
-    """A target's answer whose body is still to be read.
+    """A target's answer with its body not yet read.
 
     Attributes:
         status: HTTP status.
-        headers: The headers that go on to the caller.
+        headers: The headers that are forwarded to the caller.
     """
 
     status: int
     headers: tuple[Header, ...]
     _response: urllib3.BaseHTTPResponse
 
-    def read_pieces(self) -> Iterator[bytes]:
-        """Yield the body as it comes, in pieces of what is there.
+    def read_chunks(self) -> Iterator[bytes]:
+        """Yield the body as it arrives, in chunks of the bytes available.
 
         Raises:
-            TargetFailed: The target broke off or went silent.
+            TargetFailed: The connection broke or the read timed out.
         """
         try:
             while True:
-                piece = self._response.read1(_READ_BYTES)
-                if not piece:
+                chunk = self._response.read1(_READ_BYTES)
+                if not chunk:
                     return
-                yield piece
+                yield chunk
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             raise TargetFailed(str(error), Statement.outcome_unknown) from error
 
     def abort(self) -> None:
-        """Close the connection, from any thread: the target stops the work."""
+        """Shut down the connection so that the target stops; thread-safe."""
         with contextlib.suppress(Exception):
             self._response.shutdown()  # type: ignore[attr-defined]
 
     def close(self) -> None:
-        """Give the connection back, or close it when the body was not read."""
+        """Release the connection to the pool, or close it if the body is unread."""
         with contextlib.suppress(Exception):
             self._response.close()
             self._response.release_conn()
@@ -60,36 +60,37 @@
 class TargetClient:
     """HTTP client of one target."""
 
-    def __init__(self, address: str, most_calls: int) -> None:
-        """Set the pool up.
+    def __init__(self, address: str, max_calls: int) -> None:
+        """Create the connection pool.
 
         Args:
             address: ``host:port`` of the target.
-            most_calls: How many calls may be in flight.
+            max_calls: Maximum number of concurrent calls; the pool keeps as many
+                connections.
         """
         host, _, port = address.rpartition(':')
         self._pool = urllib3.HTTPConnectionPool(
-            host, int(port), maxsize=most_calls, retries=False
+            host, int(port), maxsize=max_calls, retries=False
         )
 
     def call(self, submit: Submit) -> TargetAnswer:
-        """Send a request on and return its answer's head.
+        """Forward a request and return its answer's head.
 
         Args:
             submit: The request.
 
         Returns:
-            The answer, its body unread.
+            The answer with its body unread.
 
         Raises:
-            TargetFailed: With ``did_not_run`` when no connection was made,
-                else with ``outcome_unknown``.
+            TargetFailed: With ``did_not_run`` if no connection was established,
+                otherwise with ``outcome_unknown``.
         """
-        headers = {one.name: one.content for one in submit.headers}
+        headers = {header.name: header.content for header in submit.headers}
         headers['X-Request-Id'] = submit.request_id.hex()
         headers['X-Priority'] = str(submit.priority)
-        left = make_seconds(submit.deadline) - time.time()
-        silence = max(0.1, min(left, _MOST_SILENCE))
+        remaining = make_seconds(submit.deadline) - time.time()
+        read_timeout = max(0.1, min(remaining, _MAX_READ_TIMEOUT_SECONDS))
         try:
             response = self._pool.urlopen(
                 submit.method,
@@ -98,26 +99,30 @@
                 headers=headers,
                 preload_content=False,
                 redirect=False,
-                timeout=urllib3.Timeout(connect=_CONNECT_SECONDS, read=silence),
+                timeout=urllib3.Timeout(
+                    connect=_CONNECT_TIMEOUT_SECONDS, read=read_timeout
+                ),
             )
         except urllib3.exceptions.NewConnectionError as error:
             raise TargetFailed(str(error), Statement.did_not_run) from error
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            statement = _judge(error)
+            statement = _classify_error(error)
             raise TargetFailed(str(error), statement) from error
-        return TargetAnswer(response.status, _keep_headers(response), response)
+        return TargetAnswer(response.status, _filter_headers(response), response)
 
     def close(self) -> None:
         """Close the pool."""
         self._pool.close()
 
 
-def _judge(error: Exception) -> Statement:
+def _classify_error(error: Exception) -> Statement:
     if isinstance(error, urllib3.exceptions.ConnectTimeoutError):
         return Statement.did_not_run
     return Statement.outcome_unknown
 
 
-def _keep_headers(response: urllib3.BaseHTTPResponse) -> tuple[Header, ...]:
+def _filter_headers(response: urllib3.BaseHTTPResponse) -> tuple[Header, ...]:
     pairs = response.headers.items()
-    return tuple(Header(*pair) for pair in pairs if pair[0].lower() in _PASSED_HEADERS)
+    return tuple(
+        Header(*pair) for pair in pairs if pair[0].lower() in _FORWARDED_HEADERS
+    )
