--- a/packages/fleet/src/ibisport_fleet/borrowing.py
+++ b/packages/fleet/src/ibisport_fleet/borrowing.py
@@ -30,7 +30,7 @@
         self._ledger = ledger
         self._peers = peers
         self._log = log
-        self._avoided_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._lenders: dict[str, Member] = {}
         self._tasks: set[asyncio.Task[Reservation | Loan | None]] = set()
 
@@ -121,12 +121,12 @@
             members[host]
             for host in ranked
             if host != self._members.own.host
-            and self._avoided_until.get(host, 0.0) <= now
+            and self._backoff_until.get(host, 0.0) <= now
         ]
 
     def _back_off(self, member: Member, reason: str) -> None:
         now = asyncio.get_running_loop().time()
-        self._avoided_until[member.host] = now + LENDER_BACKOFF_SECONDS
+        self._backoff_until[member.host] = now + LENDER_BACKOFF_SECONDS
         self._log.write(Event.lender_lost, lender=member.host, reason=reason)
 
     async def _repay_workspace(self, workspace: str) -> None:
