--- a/packages/bench/src/ibisport_bench/soak/analysis.py
+++ b/packages/bench/src/ibisport_bench/soak/analysis.py
@@ -63,9 +63,10 @@
     ) -> bool:
         """Whether a request's router was undisturbed in a span.
 
-        The process must have started, and all faults of the router, the store and the
-        link between them must have ended, RECOVERY_SECONDS before the span; SIGTERM
-        must not come before its end.
+        The router's process must have started at least RECOVERY_SECONDS before the
+        span. No unplanned fault of the router, the store or the link between them may
+        overlap the span or the RECOVERY_SECONDS before it. The process must not get
+        SIGTERM before the end of the span.
         """
         start = self.starts[request.router, request.start]
         subjects = [request.router, 'store', f'store of {request.router}']
@@ -106,10 +107,10 @@
 
 
 def _find_relevant_since(request: RequestRecord, start: Start, fault: Fault) -> float:
-    """Return from when on a description includes a fault.
+    """Return the time from which a request's description includes a fault.
 
-    Faults of the request's own router are included from its SIGTERM on, if that is
-    earlier.
+    It is RECOVERY_SECONDS before the request was sent. For faults of the request's own
+    router, it is the SIGTERM to that router's process, if that is earlier.
     """
     earliest = request.sent - RECOVERY_SECONDS
     return min(earliest, start.told) if fault.subject == request.router else earliest
--- a/packages/bench/src/ibisport_bench/soak/site.py
+++ b/packages/bench/src/ibisport_bench/soak/site.py
@@ -39,7 +39,7 @@
 DOMAINS = ('domain-1', 'domain-2', 'domain-3')
 ROUTE_TIME_LIMIT_SECONDS = 20.0
 MAX_TARGETS = 3
-# Ports of each host: callers, readiness, peers, metrics, link, target.
+# Ports of each host, in this order: callers, readiness, peers, metrics, link, target.
 PORTS_PER_HOST = 6
 FIRST_PORT_RANGE = (20_000, 30_000)
 # Networks in 127.0.0.0/8 from which a run picks one by its process id, so that runs at
@@ -172,6 +172,7 @@
             replace(route, resumable=route.name == Kind.resume.value)
             for route in routes
         ]
+        # Only this version has this route: probes show whether a router applies it.
         probe_route = make_route(
             'mark', f'/mark/{version}/', RouteKind.idempotent, PLAIN
         )
--- a/packages/bench/src/ibisport_bench/virtual_network.py
+++ b/packages/bench/src/ibisport_bench/virtual_network.py
@@ -25,7 +25,11 @@
 
 
 class Listener:
-    """Accepts connections to one address; also serves as its own socket."""
+    """Accepts connections to one address.
+
+    ``sockets`` contains the listener itself, which answers ``getsockname`` in place of
+    a real socket.
+    """
 
     def __init__(
         self, net: 'VirtualNetwork', address: Address, factory: ProtocolFactory
--- a/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
+++ b/packages/fleet/src/ibisport_fleet/budget_synchronizer.py
@@ -4,13 +4,13 @@
 only the tokens that its requests need while no lender is reachable, and otherwise
 writes nothing.
 
-A host has caps in the budget page, which all hosts share, and lower contact caps in
-its own record. It respects the contact caps while its contact proof is valid. The
-proof is a key under a lease that is never renewed but replaced by a new one. The host
-spends up to its caps only after the newest lease has certainly expired. A process
-that starts after a crash and still finds the proof of its predecessor therefore knows
-that no more than the contact caps can have been spent. Without the proof, the caps
-count as spent.
+A cap is the most that a host's process may spend of a budget. A host has caps in the
+budget page, which all hosts share, and lower contact caps in its own record. It
+respects the contact caps while its contact proof is valid. The proof is a key under a
+lease that is never renewed but replaced by a new one. The host spends up to its caps
+only after the newest lease has certainly expired. A process that starts after a crash
+and still finds the proof of its predecessor therefore knows that no more than the
+contact caps can have been spent. Without the proof, the caps count as spent.
 """
 
 import asyncio
@@ -57,14 +57,17 @@
 
 PAGE_KEY = 'ibisport/budgets'
 PROOF_PREFIX = 'ibisport/contact/'
-# Average time between rebalances of the shares. A rebalance doesn't read the page: a
-# conflicting write returns the current one, and lenders' writes rarely conflict.
+# Longest delay until the next rebalance of the shares is due; the shortest is half of
+# it. A rebalance doesn't read the page: a conflicting write returns the current one,
+# and lenders' writes rarely conflict.
 REBALANCE_INTERVAL_SECONDS = 1.5
 MAX_WRITE_ATTEMPTS = 8
-# Requests are refused from a page of at most this age, without a write. Under load that
-# exceeds a budget, one write per refusal kept other hosts' writes from succeeding.
+# If the known page is at most this old and has too few tokens left for a request, the
+# request is refused without a write. Under load that exceeds a budget, one write per
+# refusal would keep other hosts' writes from succeeding.
 MAX_PAGE_AGE_SECONDS = 0.25
-# The moving average follows quickly because the store can slow down between two calls.
+# Weight of the newest write in the moving average of write latencies. It is high
+# because the store can slow down between two calls.
 LATENCY_WEIGHT = 0.5
 # Spreads conflicting writers over about the duration of a write.
 CONFLICT_BACKOFF_SECONDS = 0.004
@@ -172,7 +175,10 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether the caps bound the process instead of its contact caps."""
+        """Whether all contact proofs have expired in an open session.
+
+        The caps then bound the process instead of its contact caps.
+        """
         return self.is_open and self._clocks.boot() > self.proofs_expire_at
 
     def find_account(self, workspace: str) -> Account:
@@ -206,7 +212,11 @@
             )
 
     def _has_work(self) -> bool:
-        """Return whether the host lends, has unspent tokens, or needs tokens."""
+        """Return whether there may be something to write.
+
+        That is so if the host lends, has unspent tokens or needs tokens, or if it is
+        unknown whether the last write was applied.
+        """
         if self._is_outcome_unknown:
             return True
         return any(
@@ -241,9 +251,9 @@
     def _predecessor_may_hold_tokens(self) -> bool:
         """Return whether the predecessor may have left unspent tokens.
 
-        Fully spent shares can be closed by the first write that is needed anyway: if
-        all routers that start at once wrote the page, they would keep the lenders
-        among them from opening their sessions.
+        Fully spent shares don't count: the first write that is needed anyway closes
+        them. If all routers that start at the same time wrote the page, they would
+        keep the lenders among them from opening their sessions.
         """
         shares = [
             account.shares.get(self._host) for account in self._page.accounts.values()
@@ -258,12 +268,14 @@
             self._clocks.boot_id, self._started_at, self._clocks.wall()
         )
         spent = bound_spent(predecessor, state, successor, self._log)
-        # Without a session nothing is held. The first write of a process that died
-        # before the answer may still be applied, but its tokens were never spent.
+        # A host without a session in the page holds no tokens, so there is nothing to
+        # close. If a process died before its first write was answered, the write may
+        # still be applied, but its tokens were never spent.
         self.is_open = predecessor is None
         while not self.is_open:
-            # Only the page changes between attempts, and a conflict returns it. Two
-            # more reads per attempt would let a busy lender's writes win every time.
+            # Usually only the page changes between attempts, and a conflict returns
+            # it. Two more reads per attempt would let a busy lender's writes win every
+            # time.
             plan = self._plan_opening(spent, state.proof)
             self.is_open = await self._try_write(plan)
             is_record_changed = self._record_revision != state.record_revision
@@ -362,8 +374,9 @@
             workspace_demand.wanted for workspace_demand in demands.values()
         ):
             return False
-        # Compares with the cap in the page: after a conflict the local bound may be
-        # lower already, and the difference would be held indefinitely.
+        # Compares with the cap in the page, not in the ledger: after a conflict the
+        # ledger's cap may be lower already, and the difference would be held
+        # indefinitely.
         return any(
             needs_rebalance(
                 self._page.find(name).find_cap(self._host), share, demands[name]
--- a/packages/fleet/src/ibisport_fleet/cap_planning.py
+++ b/packages/fleet/src/ibisport_fleet/cap_planning.py
@@ -1,6 +1,7 @@
-"""Plans how many tokens of a budget a host holds, from the budget page alone.
+"""Plans how many tokens of a budget a host holds.
 
-The functions do no input or output.
+The plans depend only on the budget page, the host's demand and the duration of a store
+write. The functions do no input or output.
 """
 
 from dataclasses import dataclass
@@ -9,7 +10,8 @@
 
 # A contact cap covers the demand of half a second plus four writes: a request may wait
 # for two writes until its tokens are stored, and for two more to resolve a conflict.
-# A higher contact cap would strand more tokens in a crash.
+# A higher contact cap would strand more tokens in a crash: they count as spent although
+# no request used them.
 CONTACT_RESERVE_SECONDS = 0.5
 CONTACT_RESERVE_WRITES = 4
 # Upper bound of the contact reserve, as a fraction of the unspent part of the cap.
@@ -20,8 +22,9 @@
 # Upper bound of that reserve, as a fraction of the unspent budget, because a lender
 # that dies in an outage strands what is left.
 MAX_ISOLATED_FRACTION = 0.35
-# Demand that a lender assumes before it has observed any, as a fraction of the unspent
-# budget, so that it can serve the first requests during a partition.
+# Demand that a lender adds to its observed demand, as a fraction of the unspent budget,
+# so that it can serve the first requests during a partition even if it has observed
+# none before.
 PRIOR_RATE_FRACTION_PER_SECOND = 0.002
 # A lender whose reserve covers less demand than this raises its share at once instead
 # of at the next rebalance: under overload, requests wait for every write, and a
--- a/packages/fleet/src/ibisport_fleet/catalogue.py
+++ b/packages/fleet/src/ibisport_fleet/catalogue.py
@@ -7,7 +7,14 @@
 
 
 class RouteKind(Enum):
-    """How far the requests of a route may be retried."""
+    """How far the requests of a route may be retried.
+
+    Attributes:
+        idempotent: A request may run more than once.
+        once: A request runs at most once.
+        stream: The answer is a stream of events; a request may run more than once only
+            if the route is resumable.
+    """
 
     idempotent = 'idempotent'
     once = 'once'
--- a/packages/fleet/src/ibisport_fleet/connection_pool.py
+++ b/packages/fleet/src/ibisport_fleet/connection_pool.py
@@ -6,9 +6,10 @@
 from ibisport_fleet.addresses import Address
 from ibisport_fleet.http_connection import HttpConnection, open_http_connection
 
-# Below the idle timeouts of targets. Targets state them in whole seconds; the margin
-# covers rounding and network latency.
+# Idle timeout assumed for a peer that states none; below the idle timeouts of targets.
 DEFAULT_IDLE_SECONDS = 3.0
+# A connection isn't reused this close to the end of its idle timeout: targets state the
+# timeout in whole seconds, and the margin covers rounding and network latency.
 IDLE_MARGIN_SECONDS = 1.0
 
 
--- a/packages/fleet/src/ibisport_fleet/metrics.py
+++ b/packages/fleet/src/ibisport_fleet/metrics.py
@@ -1,4 +1,8 @@
-"""Counters and histograms for each workspace and route, in Prometheus' format."""
+"""Metrics of a router, in Prometheus' format.
+
+Counters and histograms are kept for each workspace and route; gauges show the current
+state of the router and its calls to the store.
+"""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
--- a/packages/fleet/src/ibisport_fleet/prefix_watch.py
+++ b/packages/fleet/src/ibisport_fleet/prefix_watch.py
@@ -16,11 +16,12 @@
 from ibisport_fleet.watch_schedule import WatchSchedule
 
 MIN_BACKOFF_SECONDS = 0.15
-# The backoff doubles up to this one, so that an outage isn't filled with calls.
+# The backoff doubles with each failure, up to this bound, to limit the number of calls
+# in an outage.
 MAX_BACKOFF_SECONDS = 0.6
-# If the changes are longer than all keys together by more than this, the prefix is
-# listed instead: a watch returns every version since, and a narrow link never catches
-# up with large ones.
+# If the changes since the last answer are longer than the last listing by more than
+# this, the prefix is listed again: a watch returns every version since that answer, and
+# over a narrow link it would never catch up with large versions.
 MAX_EXCESS_BYTES = 262_144
 
 
@@ -85,7 +86,8 @@
                 self._revision = None
             except StoreError as error:
                 self._record_failure(error)
-                # A watch returns every version since; a listing only the newest one.
+                # A watch would return every version since the last answer; a listing
+                # returns only the newest one of each key.
                 self._revision = None
                 await asyncio.sleep(self._backoff)
                 self._backoff = min(2 * self._backoff, MAX_BACKOFF_SECONDS)
