--- a/packages/fleet/src/ibisport_fleet/call_handler.py
+++ b/packages/fleet/src/ibisport_fleet/call_handler.py
@@ -34,7 +34,7 @@
         self._bounds = dependencies.settings.bounds
         self._retry_budgets: dict[str, RetryBudget] = {}
         self._prompt_mixes: dict[str, PromptMix] = {}
-        self._started = asyncio.get_running_loop().time()
+        self._started_at = asyncio.get_running_loop().time()
         self.in_flight = 0
         self.process_ended = False
         self._shutdown: Shutdown | None = None
@@ -199,7 +199,7 @@
         """Apply changed settings; retry budgets restart with a new window."""
         if bounds != self._bounds:
             self._bounds = bounds
-            self._started = asyncio.get_running_loop().time()
+            self._started_at = asyncio.get_running_loop().time()
             self._retry_budgets.clear()
 
     def find_retry_budget(self, service: str) -> RetryBudget:
@@ -211,7 +211,7 @@
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window,
-                self._started,
+                self._started_at,
             )
             self._retry_budgets[service] = found
         return found
--- a/packages/fleet/src/ibisport_fleet/engine_choice.py
+++ b/packages/fleet/src/ibisport_fleet/engine_choice.py
@@ -75,9 +75,9 @@
         members = by_domain.setdefault(candidate.entry.domain, [])
         members.append(candidate.entry.incarnation)
     ranked = [
-        (rank, _hash(incarnation), incarnation)
+        (rank, _hash_text(incarnation), incarnation)
         for members in by_domain.values()
-        for rank, incarnation in enumerate(sorted(members, key=_hash))
+        for rank, incarnation in enumerate(sorted(members, key=_hash_text))
     ]
     wanted = round(len(ranked) * share)
     size = max(1, min(wanted, len(ranked) - 1))
@@ -141,9 +141,9 @@
 
 
 def _compute_rendezvous_score(candidate: Candidate, part_id: str) -> int:
-    return _hash(f'{part_id}|{candidate.entry.incarnation}')
+    return _hash_text(f'{part_id}|{candidate.entry.incarnation}')
 
 
-def _hash(text: str) -> int:
+def _hash_text(text: str) -> int:
     """Return a hash of a text; it is the same in all router processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/lenders.py
+++ b/packages/fleet/src/ibisport_fleet/lenders.py
@@ -26,10 +26,13 @@
         hosts: Names of the routers' hosts.
         workspace: Name of the workspace that owns the budget.
     """
-    hashed = sorted(hosts, key=_hash)
+    hashed = sorted(hosts, key=_hash_text)
     lender_count = max(MIN_LENDERS, ceil(len(hashed) / ROUTERS_PER_LENDER))
-    return sorted(hashed[:lender_count], key=lambda host: _hash(f'{workspace}|{host}'))
+    return sorted(
+        hashed[:lender_count], key=lambda host: _hash_text(f'{workspace}|{host}')
+    )
 
 
-def _hash(text: str) -> int:
+def _hash_text(text: str) -> int:
+    """Return a hash of a text; it is the same in all router processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/rate_limit.py
+++ b/packages/fleet/src/ibisport_fleet/rate_limit.py
@@ -45,13 +45,13 @@
         host: The router's host.
         hosts: Hosts of all routers.
     """
-    ranked = sorted(hosts, key=lambda name: _hash(f'{target}|{name}'))
+    ranked = sorted(hosts, key=lambda name: _hash_text(f'{target}|{name}'))
     senders = ranked[: int(rate) + EXTRA_SENDERS]
     if host not in senders or not rate:
         return inf
     return len(senders) / rate
 
 
-def _hash(text: str) -> int:
+def _hash_text(text: str) -> int:
     """Return a hash of a text; it is the same in all router processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/fleet/src/ibisport_fleet/router.py
+++ b/packages/fleet/src/ibisport_fleet/router.py
@@ -259,11 +259,11 @@
         ]
         return relays
 
-    def _watch(self, prefix: str, follower: CatalogueView | TargetView) -> None:
+    def _watch(self, prefix: str, subscriber: CatalogueView | TargetView) -> None:
         watch = PrefixWatch(
             self._store,
             prefix,
-            follower,
+            subscriber,
             self._log,
             self._store_contact,
             self._plan_watch,
--- a/packages/fleet/src/ibisport_fleet/store_paths.py
+++ b/packages/fleet/src/ibisport_fleet/store_paths.py
@@ -157,4 +157,5 @@
 
 
 def _hash_text(text: str) -> int:
+    """Return a hash of a text; it is the same in all router processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
